--- a/hopshed/control.py
+++ b/hopshed/control.py
@@ -17,20 +17,20 @@
 from . import interface as i
 from .estimate import Estimate
 from .fleet import Fleet
+from .free_room import REPORT_TTL, Room
 from .gossip import NO_TEXT, Gossip, Reading, Slow, tag
 from .health import Health
 from .hold_queue import HoldQueue
-from .pace import Paces
 from .popularity import Popularity
 from .prefix_cache import PrefixCacheIndex
 from .probes import Probes
+from .queue_waits import WAIT_DECAY, Waits
 from .quota import Quotas
+from .read_pace import Paces
 from .rendezvous import Rendezvous, rank
-from .room import REPORT_TTL, Room
 from .slow_start import WORK_MEMORY, SlowStart
 from .state import Attempt, Request, Session, Worker, drop_before
 from .topology import Topology
-from .waits import WAIT_DECAY, Waits
 from .zone_reachability import ZoneReachability
 
 TICK, LOOK_EVERY = 0.05, 4  # s; ticks between looks over the fleet
--- a/hopshed/health.py
+++ b/hopshed/health.py
@@ -6,9 +6,9 @@
 
 from .gossip import Gossip
 from .interface import Role, ServerState, Settings
-from .pace import Paces
+from .queue_waits import Waits
+from .read_pace import Paces
 from .state import Worker
-from .waits import Waits
 from .zone_reachability import ZoneReachability
 
 ERROR_GAIN = 0.25  # weight of one answer or failure in a server's error rate
--- a/tests/levels/test_at_a_router.py
+++ b/tests/levels/test_at_a_router.py
@@ -17,8 +17,8 @@
 from yewhook.levels.level import Level
 from yewhook.levels.settings import LevelsSettings, Mode
 from yewhook.log import Form, Log
-from yewhook.oversight import Oversight
-from yewhook.settings import ServiceSettings
+from yewhook.service_level_admin import Oversight
+from yewhook.service_settings import ServiceSettings
 
 QUICK = LevelsSettings(mode=Mode.ON, confirm=0.5, least_stay=1.0, leave_after=2.0, leave_spread=0.0)
 
--- a/tests/levels/test_estimators.py
+++ b/tests/levels/test_estimators.py
@@ -11,8 +11,8 @@
 
 from hopshed import interface as i
 from yewhook.levels.capacity import Capacity
+from yewhook.levels.discovery_health import KEPT, Register
 from yewhook.levels.estimators import Mean, Quantiles, Rate, Recent, Share
-from yewhook.levels.register import KEPT, Register
 
 R = i.Role
 
--- a/tests/levels/test_in_the_lab.py
+++ b/tests/levels/test_in_the_lab.py
@@ -192,7 +192,7 @@
 
 def test_the_lab_is_never_imported_by_a_router() -> None:
     code = (
-        "import sys, yewhook.cli, yewhook.platform.front, yewhook.oversight; "
+        "import sys, yewhook.cli, yewhook.platform.front, yewhook.service_level_admin; "
         "print([m for m in sys.modules if m.partition('.')[0] in "
         "('yewlab', 'numpy', 'scipy', 'matplotlib', 'msgspec', 'dns', 'pythonjsonlogger', 'rich', 'jinja2') "
         "or m == 'yewhook.levels.governor'])"
--- a/tests/levels/test_operators_file.py
+++ b/tests/levels/test_settings_file.py
@@ -12,7 +12,7 @@
 from yewhook.levels.level import Level
 from yewhook.levels.settings import LevelsSettings, Mode, Threshold
 from yewhook.log import Form
-from yewhook.operators import read
+from yewhook.settings_file import read
 
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "service.toml"
 
--- a/tests/recovery/test_words.py
+++ b/tests/recovery/test_peer_messages.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from yewhook.recovery.peer_messages import LONGEST, WORKERS_MOST, Seen, Speaker, Word, choose, pack, unpack
 from yewhook.recovery.phases import Phase
-from yewhook.recovery.words import LONGEST, WORKERS_MOST, Seen, Speaker, Word, choose, pack, unpack
 
 seen = st.builds(
     Seen, st.integers(0, 2**48 - 1), st.booleans(), st.integers(0, 255).map(lambda tenths: tenths / 10)
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -14,11 +14,11 @@
 from hopshed.interface import ListKind, Outcome, Role, RoleUsage, ServerState
 from yewhook.levels.governor import Governor
 from yewhook.levels.settings import LevelsSettings, Mode
+from yewhook.recovery.peer_messages import Seen, Word
 from yewhook.recovery.phases import Phase
 from yewhook.recovery.recovery import MISSED_FOR, Past, Recovery, Usual
+from yewhook.recovery.restart_scope import Scope
 from yewhook.recovery.settings import RecoverySettings
-from yewhook.recovery.verdict import Scope
-from yewhook.recovery.words import Seen, Word
 from yewlab import site
 
 MODULE = site.settings(1e6, 6)
@@ -179,7 +179,8 @@
 
 def test_a_router_without_it_loads_none_of_it() -> None:
     code = (
-        "import sys, yewhook.cli, yewhook.platform.front, yewhook.oversight, yewhook.operations.door;"
+        "import sys, yewhook.cli, yewhook.platform.front, yewhook.service_level_admin;"
+        "import yewhook.operations.management_endpoint;"
         "print(*(m for m in sys.modules if m.startswith('yewhook.recovery') or m == 'msgspec'))"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/recovery/test_verdict.py
+++ b/tests/recovery/test_restart_scope.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from yewhook.recovery.verdict import Evidence, Scope, judge
+from yewhook.recovery.restart_scope import Evidence, Scope, judge
 
 BEFORE, AFTER = {n: 50.0 for n in range(4)}, {n: 120.0 for n in range(4)}
 
--- a/tests/recovery/test_kept.py
+++ b/tests/recovery/test_snapshot_store.py
@@ -14,14 +14,14 @@
 from hopshed.handover import Knowledge
 from hopshed.interface import Role
 from hopshed.state import Session
-from yewhook.operations.form import FormError, HandOver
-from yewhook.recovery.book import Book
+from yewhook.operations.handover_encoding import FormError, HandOver
+from yewhook.recovery.desired_state import Drained, Wish
+from yewhook.recovery.desired_state_store import Book
 from yewhook.recovery.generations import Generations
-from yewhook.recovery.recall import recall
+from yewhook.recovery.restart_scope import Scope
 from yewhook.recovery.snapshot import Clocks, Snapshot, age, pack, unpack
-from yewhook.recovery.starts import due
-from yewhook.recovery.verdict import Scope
-from yewhook.recovery.wanted import Drained, Wish
+from yewhook.recovery.snapshot_restore import recall
+from yewhook.recovery.start_order import due
 
 
 @dataclass
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -9,7 +9,7 @@
 from test_platform import Platform, answer, begin, chunk
 
 from hopshed.interface import Load
-from yewhook import reports
+from yewhook import load_reports
 from yewhook.core.ending import Ending
 from yewhook.loop import Loop
 from yewhook.platform.workers import WorkerConnection, WorkerPool
@@ -120,12 +120,12 @@
 )  # fmt: skip
 def test_a_report_that_cannot_be_read_is_only_missing(text: str) -> None:
     # Depth and infinities were exceptions, or figures that spoilt every average they entered.
-    assert reports.load(reports.parse(text), ("avg_ms", "x0", "x1")) is None
-    assert reports.count(reports.parse(text)) == 0
+    assert load_reports.load(load_reports.parse(text), ("avg_ms", "x0", "x1")) is None
+    assert load_reports.count(load_reports.parse(text)) == 0
 
 
 def test_a_report_is_found_under_either_name() -> None:
-    load = reports.load(reports.parse('{"latency_ms":500,"x0":0.5}'), ("avg_ms", "x0", "x1"))
+    load = load_reports.load(load_reports.parse('{"latency_ms":500,"x0":0.5}'), ("avg_ms", "x0", "x1"))
     assert load == Load(service_time=0.5, memory_share=0.5)
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,7 +7,7 @@
 import decision_stream
 import pytest
 
-from hopshed import control, hold_queue, room
+from hopshed import control, free_room, hold_queue
 
 
 @pytest.mark.parametrize("name", decision_stream.STREAMS)
@@ -24,8 +24,8 @@
     (control, "STATE_HOLD", 0.2),
     (hold_queue, "LIFT", 1.0),
     (control, "RETRY_RATIO", 0.1),
-    (room, "SMOOTHING", 0.3),
-    (room, "LIMIT_CUT", 0.7),
+    (free_room, "SMOOTHING", 0.3),
+    (free_room, "LIMIT_CUT", 0.7),
 ]
 
 
--- a/tests/test_room.py
+++ b/tests/test_free_room.py
@@ -8,8 +8,8 @@
 import pytest
 from helpers import server, settings
 
+from hopshed.free_room import LIMIT_CUT, LIMIT_START, MIN_LIMIT, REPORT_TTL, SMOOTHING, Room
 from hopshed.interface import Load, Role, ServerState
-from hopshed.room import LIMIT_CUT, LIMIT_START, MIN_LIMIT, REPORT_TTL, SMOOTHING, Room
 from hopshed.state import Worker
 from hopshed.topology import Topology
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -21,10 +21,10 @@
     Health,
 )
 from hopshed.interface import Load, Role, ServerState
-from hopshed.pace import Paces
 from hopshed.probes import MAX_BUDGET, MIN_AGE, MIN_AGE_DRAWN, PER_REQUEST, Probes
+from hopshed.queue_waits import Waits
+from hopshed.read_pace import Paces
 from hopshed.state import Attempt, Worker
-from hopshed.waits import Waits
 from hopshed.zone_reachability import ZoneReachability
 
 NOW = 100.0
--- a/tests/test_succession.py
+++ b/tests/test_hot_restart.py
@@ -15,11 +15,11 @@
 from hopshed.handover import give, take
 from hopshed.interface import ListKind, Outcome, Role, ServersListed
 from hopshed.state import Session
-from yewhook.operations import form
-from yewhook.operations.form import FormError, HandOver, pack, unpack
+from yewhook.operations import handover_encoding
+from yewhook.operations.handover_encoding import FormError, HandOver, pack, unpack
 from yewhook.operations.instance import Event
-from yewhook.operations.line import Line
-from yewhook.operations.watch import HUNG, Neighbours, Sight
+from yewhook.operations.process_files import Line
+from yewhook.operations.process_neighbours import HUNG, Neighbours, Sight
 
 
 def after(line: Line) -> None:
@@ -108,7 +108,7 @@
 
 
 def handed(b: Bench) -> HandOver:
-    listed = form.listed((w.info, ("127.0.0.1", 1000 + n)) for n, w in b.c.workers.items())
+    listed = handover_encoding.listed((w.info, ("127.0.0.1", 1000 + n)) for n, w in b.c.workers.items())
     return HandOver(b.now, True, 7, listed, {2: 99.0}, take(b.c))
 
 
@@ -116,7 +116,7 @@
     old = worked()
     got = unpack(pack(handed(old)), old.now)
     assert (got.drained, got.generation, got.told_off) == (True, 7, {2: 99.0})
-    new = Bench(fleet=[info for info, _ in form.servers(got.servers)], tenants=())
+    new = Bench(fleet=[info for info, _ in handover_encoding.servers(got.servers)], tenants=())
     give(new.c, got.module, old.now)
     assert new.c.sessions == {"s": Session(1.5, old.c.sessions["s"].reader, 1000.0, old.c.sessions["s"].at)}
     assert new.c.prefix_cache.uses.keys() == old.c.prefix_cache.uses.keys()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 from test_platform import Platform, ask
 
 from yewhook.config import Limits
-from yewhook.crowding import Stand, Standing, give_way
+from yewhook.connection_limiter import Stand, Standing, give_way
 from yewhook.loop import Timer
 from yewhook.service import Room
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,8 +11,8 @@
 from scenario import Party
 from test_platform import FLEET, SAYINGS, Platform, begin
 
-from yewhook.operations.door import CALLERS_MOST, Door
 from yewhook.operations.instance import POSTURES, TABLE, Event, Instance, State, step
+from yewhook.operations.management_endpoint import CALLERS_MOST, Door
 
 
 class Door_(Platform):
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -14,9 +14,9 @@
 from hopshed.backlog import EXCESS_FADES, QUEUE_MOST, Backlog
 from hopshed.gossip import MOST_STEPS, NO_TEXT, READING, READING_BYTES, Gossip, Reading, tag
 from hopshed.interface import ListKind, Log, Outcome, PeerSaid, Role, Send, ServersListed, StreamStarted, Tell
-from hopshed.pace import Paces
 from hopshed.popularity import DOUBT, DROPPED, Popularity
 from hopshed.prefix_cache import MAX_ENTRIES, PrefixCacheIndex
+from hopshed.read_pace import Paces
 from hopshed.rendezvous import Rendezvous
 from hopshed.state import Worker
 from hopshed.topology import LEAN_LEAST, LEAN_MOST, Topology
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,9 +19,9 @@
 from yewhook.core.release_call import Candidate, Ranking, ReleaseCall, Result
 from yewhook.log import Log
 from yewhook.loop import Loop
-from yewhook.operations import form
+from yewhook.operations import handover_encoding
 from yewhook.platform.peers import Peers
-from yewhook.registry import server_id
+from yewhook.worker_list import server_id
 
 COUNT = 1024
 KINDS = ("prefill", "decode", "mixed")
@@ -92,9 +92,9 @@
     module = Controller(settings, 1)
     servers = tuple(i.Server(n, n % 3, 0, n // 6, i.ServerState.RUNNING) for n in range(1, COUNT + 1))
     module.handle(1.0, [i.ServersListed(i.ListKind.FULL, servers)])
-    listed = form.listed((server, ("127.0.0.1", 1)) for server in servers)
-    handed = form.HandOver(1.0, False, 1, listed, {}, know(module))
-    read = form.unpack(form.pack(handed), 2.0)
+    listed = handover_encoding.listed((server, ("127.0.0.1", 1)) for server in servers)
+    handed = handover_encoding.HandOver(1.0, False, 1, listed, {}, know(module))
+    read = handover_encoding.unpack(handover_encoding.pack(handed), 2.0)
     assert len(read.servers) == len(read.module.servers) == COUNT
 
 
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -12,7 +12,7 @@
 from hopshed.interface import FORGET_AFTER, Effect, ListKind, RequestArrived, Server, ServerState
 from yewhook.core.ending import Ending
 from yewhook.core.held_state import HeldState
-from yewhook.core.life import Attempt, Life, Stage
+from yewhook.core.request_records import Attempt, Life, Stage
 from yewhook.core.send_rules import (
     MIN_CONNECT_TIME,
     Withheld,
--- a/tests/test_sites.py
+++ b/tests/test_site_files.py
@@ -9,7 +9,7 @@
 
 from yewhook.cli import app
 from yewhook.config import ConfigError
-from yewhook.sites import read
+from yewhook.site_files import read
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -9,8 +9,8 @@
 import pytest
 from test_platform import Platform, chunk
 
-from yewhook.registry import server_id
 from yewhook.start_times import LATE, StartTimes, Told
+from yewhook.worker_list import server_id
 
 HOUR = 3600.0  # s by which the clock steps
 NOW, BEFORE = 100.0, 98.5  # s of the loop's clock: of a message, and of the one before it
--- a/tests/test_shortage.py
+++ b/tests/test_transient_errors.py
@@ -15,7 +15,7 @@
 from yewhook.loop import Loop
 from yewhook.platform.peers import Peers
 from yewhook.service import RELOAD_AGAIN, RELOAD_TRIES, Service, listen
-from yewhook.shortage import AGAIN, PATIENCE, insist, is_short
+from yewhook.transient_errors import AGAIN, PATIENCE, insist, is_short
 
 FREE = ("127.0.0.1", 0)
 
--- a/yewhook/agent/agent.py
+++ b/yewhook/agent/agent.py
@@ -10,20 +10,20 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..control import pin_of
+from ..agent_link import pin_of
 from ..dnssd import ServiceInstance, master_file
 from ..front import ClientConnections
 from ..jsonrpc import Code, Handler, Id, Peer, RpcError
 from ..loop import Loop
 from ..operations.instance import Posture
 from ..operations.orders import Given, Order, Orders, Refused
-from ..recovery.starts import due
+from ..recovery.start_order import due
 from ..service import Acceptor, listen
 from .fleet_file import FleetFile, Spec
 from .instance import Instance, State
 
 if TYPE_CHECKING:
-    from ..recovery.book import Book
+    from ..recovery.desired_state_store import Book
 
 POLL_EVERY = 0.1  # s between looks at the processes
 MAX_PEERS = 64  # connections of those who ask
@@ -89,7 +89,7 @@
 
     def _open(self, folder: Path) -> Book:
         """What operators ordered before this agent's start. Raises OSError."""
-        from ..recovery.book import Book  # only where it is written down
+        from ..recovery.desired_state_store import Book  # only where it is written down
         from ..recovery.files import Folder
 
         return Book(Folder(folder), self.loop.log)
@@ -98,7 +98,7 @@
         """What is wanted of it from now on, before anything is done. Raises Refused."""
         if self._book is None:
             return
-        from ..recovery.wanted import Drained, Wish
+        from ..recovery.desired_state import Drained, Wish
 
         given, unix = orders.drain, time.time() - self.loop.now
         drain = Drained(given.by, given.at + unix) if given is not None else None
--- a/yewhook/agent/fleet_file.py
+++ b/yewhook/agent/fleet_file.py
@@ -11,7 +11,7 @@
 
 from ..config import Address, ConfigError, Table, address, toml
 from ..config import read as read_config
-from ..operators import read as read_settings
+from ..settings_file import read as read_settings
 from ..toolcalls.config import read as read_toolcalls
 
 KEYS = {
--- a/yewhook/control.py
+++ b/yewhook/agent_link.py
@@ -9,8 +9,8 @@
 from .jsonrpc import Code, Id, Peer, RpcError
 from .levels.level import Level
 from .operations.instance import Event
-from .oversight import Oversight
 from .service import Service
+from .service_level_admin import Oversight
 
 ORDERS = {"router/drain": Event.DRAIN, "router/resume": Event.RESUME}
 PIN_MOST = 7 * 86400.0  # s for which a level may be pinned
--- a/yewhook/cli.py
+++ b/yewhook/cli.py
@@ -22,16 +22,16 @@
 from .front import RouterFront
 from .levels.level import Level
 from .log import Log
-from .operations.door import FILES, Door
 from .operations.instance import Event
-from .oversight import Oversight
+from .operations.management_endpoint import FILES, Door
 from .platform.front import PlatformFront
 from .service import Room, Service
-from .shortage import insist
+from .service_level_admin import Oversight
+from .transient_errors import insist
 
 if TYPE_CHECKING:
-    from .recovery.keeper import Keeper
     from .recovery.settings import RecoverySettings
+    from .recovery.snapshot_store import Keeper
 
 REQUEST_LOG = "PROXY_REQUEST_LOG"  # "all" = write each step of each request, for those who look for a fault
 UPGRADE_PATIENCE = 20.0  # s; the agent gives up before
@@ -82,7 +82,7 @@
         service.hear(Event.DRAIN)
     service.files.append(oversight.reload)
     if control_fd is not None:
-        from .control import Control
+        from .agent_link import Control
 
         Control(service, control_fd, oversight)
     service.run()
@@ -92,7 +92,7 @@
     if settings is None:
         return None
     # Only where operators want it: what is kept takes a library and memory.
-    from .recovery.keeper import Keeper
+    from .recovery.snapshot_store import Keeper
 
     return Keeper(service.loop, settings, config.settings, config.names, config.seed)
 
@@ -101,7 +101,7 @@
     succession = None
     if config.accept_fd is not None:
         # Only where a process can be replaced; what the hand-over needs is not free.
-        from .operations.succession import take_place
+        from .operations.hot_restart import take_place
 
         succession = take_place(service, os.environ, config.name)
     if config.mgmt is not None:
@@ -154,7 +154,7 @@
             used = ", ".join(level.label for level in file_levels.known)
             typer.echo(f"{settings}: levels of service are {file_levels.mode.value}: {used}")
         if site is not None:
-            from .sites import read as read_site
+            from .site_files import read as read_site
 
             told = read_site(site)
             classes = ", ".join(f"{c.name} {c.effect} {c.deadline:g} s" for c in told.classes)
--- a/yewhook/commands/common.py
+++ b/yewhook/commands/common.py
@@ -9,7 +9,7 @@
 
 from ..config import ConfigError, address
 from ..jsonrpc import RpcError
-from ..settings import ServiceSettings
+from ..service_settings import ServiceSettings
 
 At = Annotated[str, typer.Option("--agent", help="Where the agent listens.")]
 AGENT = "127.0.0.1:7400"
@@ -24,7 +24,7 @@
     """What the operators' file says, or what holds without one. Raises ConfigError."""
     if path is None:
         return ServiceSettings()
-    from ..operators import read  # the checking of it costs memory, which those without a file keep
+    from ..settings_file import read  # the checking of it costs memory, which those without a file keep
 
     return read(path)
 
--- a/yewhook/core/router.py
+++ b/yewhook/core/router.py
@@ -21,8 +21,8 @@
 from . import send_rules
 from .ending import NO_STATE_NOTE, OUTCOMES, Ending
 from .held_state import HeldState
-from .life import Attempt, Life, Stage
 from .ports import Client, Governor, Workers
+from .request_records import Attempt, Life, Stage
 from .server_table import ServerTable
 from .spent_ids import SpentIds
 from .state_releases import StateReleases
--- a/yewhook/core/send_rules.py
+++ b/yewhook/core/send_rules.py
@@ -12,7 +12,7 @@
 from hopshed.interface import Effect, Group, Settings
 
 from .ending import OUTCOMES
-from .life import Attempt, Life, Stage
+from .request_records import Attempt, Life, Stage
 from .server_table import Standing
 
 MIN_CONNECT_TIME = 0.05  # s that a connection has to come up, however short the times of the settings are
--- a/yewhook/core/state_releases.py
+++ b/yewhook/core/state_releases.py
@@ -13,8 +13,8 @@
 from ..deadlines import Deadlines
 from ..log import Log
 from .ending import GIVEN_UP
-from .life import Attempt, Life
 from .ports import Workers
+from .request_records import Attempt, Life
 
 # s after an attempt was given up until a release is sent: the worker has seen the close by then, and a read
 # that ended at the same moment has left its state.
--- a/yewhook/front.py
+++ b/yewhook/front.py
@@ -19,9 +19,9 @@
 from .liveness import Liveness
 from .loop import Loop, Timer
 from .operations.instance import Posture
-from .registry import Registry
 from .releases import Ask, Releases
 from .service import Acceptor, Room, listen
+from .worker_list import Registry
 
 if TYPE_CHECKING:
     from .levels.governor import Governor
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -14,10 +14,10 @@
 from .admission import admit
 from .capacity import Capacity
 from .demand import Demand
+from .discovery_health import Register
 from .estimators import Mean, Quantiles, Rate, Share
 from .ladder import PAUSE, Change, Ladder, Pin
 from .level import MEANING, Level, Signals, Vitals
-from .register import Register
 from .settings import LevelsSettings, Mode
 from .turns import Kind, Standing, Turn, Turns, top_classes
 
--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -10,7 +10,7 @@
 
 from .deadlines import Deadline, Deadlines
 from .log import Log
-from .shortage import insist
+from .transient_errors import insist
 
 Handler = Callable[[int], None]
 LONG_TURN = 0.1  # s; a turn that takes longer is logged: nothing else is heard meanwhile
--- a/yewhook/operations/succession.py
+++ b/yewhook/operations/hot_restart.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 from ..service import Room, Service
-from .form import FormError, HandOver, pack, unpack
+from .handover_encoding import FormError, HandOver, pack, unpack
 from .instance import Event, Instance, State
-from .line import Line
-from .watch import LOOK_EVERY, RENEW, Neighbours, Sight
+from .process_files import Line
+from .process_neighbours import LOOK_EVERY, RENEW, Neighbours, Sight
 
 HAND_OVER_WAIT = 0.6  # s for the predecessor to see this process and to tell it what it knows
 WAIT_TURN = 0.02  # s between looks for that
--- a/yewhook/platform/clients.py
+++ b/yewhook/platform/clients.py
@@ -12,16 +12,16 @@
 
 from hopshed.interface import RequestArrived
 
+from ..arrival_time import UnreadSince
 from ..channel import Channel
 from ..config import Names
+from ..connection_limiter import Stand, Standing, give_way
 from ..core.ending import Ending
 from ..core.router import Router
-from ..crowding import Stand, Standing, give_way
 from ..front import ROOM_STEP, ClientConnections
 from ..loop import Loop, Timer
 from ..operations.instance import Posture
 from ..slow_reader import SlowReader
-from ..unread import UnreadSince
 from . import http
 
 CHAT = b"/v1/chat/completions"
--- a/yewhook/platform/discovery.py
+++ b/yewhook/platform/discovery.py
@@ -21,8 +21,8 @@
 from ..channel import Channel
 from ..config import Address
 from ..loop import Loop, Timer
-from ..registry import Registry
 from ..start_times import Told
+from ..worker_list import Registry
 from . import http
 
 SILENCE = 2.5  # s; an empty line comes every 2
--- a/yewhook/platform/front.py
+++ b/yewhook/platform/front.py
@@ -23,8 +23,8 @@
 from .workers import HttpWorkers, WorkerPool
 
 if TYPE_CHECKING:
-    from ..operations.form import HandOver
-    from ..recovery.keeper import Keeper
+    from ..operations.handover_encoding import HandOver
+    from ..recovery.snapshot_store import Keeper
 
 WORD = b"P"  # with which other routers' words for the recovery begin; the module's begin with others
 # Servers from which on connections to those that have gone are not looked for at each message, and the s for
@@ -104,9 +104,9 @@
 
     def _resume(self, handed: HandOver) -> int:
         """Go on from what a predecessor knows."""
-        from ..operations import form
+        from ..operations import handover_encoding
 
-        self.router.listed(i.ListKind.SAVED, self.registry.resume(form.servers(handed.servers)))
+        self.router.listed(i.ListKind.SAVED, self.registry.resume(handover_encoding.servers(handed.servers)))
         try:
             self.router.resume(handed.told_off, handed.module)
         except ValueError as error:
@@ -122,12 +122,16 @@
         return self._state(False, self.router.known())
 
     def _state(self, drained: bool, module: Knowledge) -> HandOver:
-        from ..operations import form
+        from ..operations import handover_encoding
 
         known = self.router.table.present()
-        listed = form.listed((server, self.registry.addresses.get(server.id)) for server in known)
+        listed = handover_encoding.listed(
+            (server, self.registry.addresses.get(server.id)) for server in known
+        )
         router = self.router
-        return form.HandOver(self.loop.now, drained, self.watch.generation, listed, router.told_off, module)
+        return handover_encoding.HandOver(
+            self.loop.now, drained, self.watch.generation, listed, router.told_off, module
+        )
 
     def take(self, posture: Posture) -> None:
         super().take(posture)
--- a/yewhook/platform/peers.py
+++ b/yewhook/platform/peers.py
@@ -12,7 +12,7 @@
 
 from ..config import Address
 from ..loop import Loop, Timer
-from ..shortage import insist
+from ..transient_errors import insist
 
 LONGEST = 256  # bytes of a message; a longer one is not permitted
 AT_ONCE = 64  # messages read in a turn
--- a/yewhook/platform/workers.py
+++ b/yewhook/platform/workers.py
@@ -9,14 +9,14 @@
 
 from hopshed import interface as i
 
-from .. import reports
+from .. import load_reports
 from ..channel import Channel
 from ..config import Address
+from ..connection_pool import Pool
 from ..core.ending import Ending
 from ..front import AttemptsOut, Release
 from ..loop import Loop, Timer
-from ..pool import Pool
-from ..registry import Registry
+from ..worker_list import Registry
 from . import http
 from .clients import Call
 
@@ -306,7 +306,7 @@
             self._hear(headers[REPORT])
 
     def _hear(self, text: str | bytes) -> None:
-        self._load = reports.load(reports.parse(text), self.workers.columns) or self._load
+        self._load = load_reports.load(load_reports.parse(text), self.workers.columns) or self._load
 
     def body(self, data: bytes) -> None:
         if self._status != 200:
@@ -337,7 +337,7 @@
             ending = Ending.SERVED
         elif status == 202:
             ending = Ending.READ
-            self._found = stated(reports.parse(bytes(self._body)), "cached_tokens")
+            self._found = stated(load_reports.parse(bytes(self._body)), "cached_tokens")
         elif status == 410:
             ending = Ending.STATE_GONE
         elif status in (503, 504) and turned_away:
@@ -354,12 +354,12 @@
     """A number of tokens within an answer; 0 where none is stated there."""
     for name in path:
         value = value.get(name) if isinstance(value, dict) else None
-    return reports.count(value)
+    return load_reports.count(value)
 
 
 def cached(event: bytes) -> int:
     """The kept tokens that a stream's usage event states."""
-    said = reports.parse(event.partition(b"data:")[2])
+    said = load_reports.parse(event.partition(b"data:")[2])
     return stated(said, "usage", "prompt_tokens_details", "cached_tokens")
 
 
--- a/yewhook/recovery/book.py
+++ b/yewhook/recovery/desired_state_store.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
+from .desired_state import Wanted, Wish, pack, unpack
 from .files import Files
 from .generations import Generations
-from .wanted import Wanted, Wish, pack, unpack
 
 NAME = "wanted"
 
--- a/yewhook/recovery/recovery.py
+++ b/yewhook/recovery/recovery.py
@@ -19,12 +19,12 @@
 from ..levels.estimators import Share
 from ..levels.turns import Standing as TurnStanding
 from ..levels.turns import Turn
+from .peer_messages import Seen, Word, choose
 from .phases import WAITS_FOR, WARM, Phase, Sight, Standing
 from .ramp import LATE_SPAN, Ramp, Rank, rank
+from .restart_scope import Evidence, Scope, Verdict, judge
 from .settings import RecoverySettings
 from .trust import LIVES, Fact, Kind, Ledger, Source
-from .verdict import Evidence, Scope, Verdict, judge
-from .words import Seen, Word, choose
 
 FEW = 2.0  # turns, below which lateness says little
 FIRST_TURNS = 0.5  # turns a second for each usable server over all routers, where no pace is known
--- a/yewhook/recovery/snapshot.py
+++ b/yewhook/recovery/snapshot.py
@@ -11,7 +11,7 @@
 from hopshed.interface import Settings
 
 from ..config import Names
-from ..operations.form import FormError, HandOver, seal, unseal
+from ..operations.handover_encoding import FormError, HandOver, seal, unseal
 
 NAME = b"yewhook-snapshot"
 AHEAD = 1.0  # s by which a snapshot's time may lie before us, for clocks are set
--- a/yewhook/recovery/recall.py
+++ b/yewhook/recovery/snapshot_restore.py
@@ -10,8 +10,8 @@
 from hopshed.handover import Knowledge
 from hopshed.state import Session
 
+from .restart_scope import Scope
 from .trust import Kind, Source, belief
-from .verdict import Scope
 
 K = TypeVar("K", bound=Estimate | Session)
 
--- a/yewhook/recovery/keeper.py
+++ b/yewhook/recovery/snapshot_store.py
@@ -13,15 +13,15 @@
 
 from ..config import Names
 from ..loop import Loop, Timer
-from ..operations.form import FormError, HandOver, servers
-from . import words
+from ..operations.handover_encoding import FormError, HandOver, servers
+from . import peer_messages
 from .files import Folder
 from .generations import Generations
-from .recall import recall
 from .recovery import Past, Recovery, usual
+from .restart_scope import Scope
 from .settings import RecoverySettings
 from .snapshot import Clocks, Pinned, Snapshot, age, mark_of, pack, unpack
-from .verdict import Scope
+from .snapshot_restore import recall
 
 if TYPE_CHECKING:
     from ..config import Address
@@ -56,7 +56,7 @@
         random = Random(f"recovery {seed}")
         self.recovery = Recovery(settings, module, loop.now, random, loop.log)
         self._roles = module.roles
-        self._speaker = words.Speaker(module.instances, random, loop.now) if module.may_tell else None
+        self._speaker = peer_messages.Speaker(module.instances, random, loop.now) if module.may_tell else None
         self._tell: Callable[[bytes], None] = lambda data: None
         self._timer, self._writing = Timer(loop), Timer(loop)
         self._kept: Kept | None = None
@@ -155,7 +155,7 @@
     def heard(self, sender: int, data: bytes) -> None:
         """Another router's word."""
         try:
-            word = words.unpack(data)
+            word = peer_messages.unpack(data)
         except ValueError as error:
             return self._loop.log("word of a router passed over", f"router {sender}: {error}")
         self.recovery.heard(sender, word, self._loop.now)
@@ -169,7 +169,7 @@
         if self._speaker is not None:
             asks = self._speaker.due(now, self.recovery.active)
             if asks is not None:
-                self._tell(words.pack(self.recovery.word(asks, now)))
+                self._tell(peer_messages.pack(self.recovery.word(asks, now)))
         if gone := self.recovery.missed(now):
             self._loop.log("workers gone", f"{len(gone)} that the register left out, and nobody has met")
             self._kept.router.listed(ListKind.CHANGES, gone)
--- a/yewhook/service.py
+++ b/yewhook/service.py
@@ -16,7 +16,7 @@
 from .log import Log
 from .loop import Loop, Timer
 from .operations.instance import Event, Instance, Posture, State, step
-from .shortage import insist, is_short
+from .transient_errors import insist, is_short
 
 OWN_FILES = 16  # of the limit on descriptors: standard streams, listeners, the selector, the wake-up pair
 WORKERS_PART = 3  # one part in so many is kept free of clients, for what they ask for
--- a/yewhook/oversight.py
+++ b/yewhook/service_level_admin.py
@@ -14,7 +14,7 @@
 from .levels.level import Level, Vitals
 from .log import Log
 from .loop import Loop
-from .settings import ServiceSettings
+from .service_settings import ServiceSettings
 
 if TYPE_CHECKING:
     from .levels.governor import Governor
--- a/yewhook/settings.py
+++ b/yewhook/service_settings.py
@@ -1,4 +1,4 @@
-"""What the operators' file sets, as the program goes by it. Reading the file is `operators.py`'s."""
+"""What the operators' file sets, as the program goes by it. Reading the file is `settings_file.py`'s."""
 
 from __future__ import annotations
 
--- a/yewhook/operators.py
+++ b/yewhook/settings_file.py
@@ -15,7 +15,7 @@
 from .levels.level import SIGNALS, Level
 from .levels.settings import LevelSettings, LevelsSettings, Mode, Threshold
 from .log import Form
-from .settings import PinSetting, ServiceSettings
+from .service_settings import PinSetting, ServiceSettings
 
 if TYPE_CHECKING:
     from .recovery.settings import RecoverySettings
--- a/yewhook/toolcalls/clients.py
+++ b/yewhook/toolcalls/clients.py
@@ -8,6 +8,7 @@
 
 from hopshed.interface import RequestArrived
 
+from ..arrival_time import UnreadSince
 from ..config import Names
 from ..core.ending import Ending
 from ..core.router import Router
@@ -15,7 +16,6 @@
 from ..jsonrpc import Code, Id, Peer, RpcError
 from ..loop import Loop
 from ..slow_reader import SlowReader
-from ..unread import UnreadSince
 from .endings import TO_CLIENT
 from .workers import Shown
 
--- a/yewhook/toolcalls/fleet.py
+++ b/yewhook/toolcalls/fleet.py
@@ -9,7 +9,7 @@
 
 from ..dnssd import Records, RecordsError, ServiceInstance
 from ..loop import Loop
-from ..registry import Registry
+from ..worker_list import Registry
 
 LOOK_EVERY = 0.5  # s
 
--- a/yewhook/toolcalls/peers.py
+++ b/yewhook/toolcalls/peers.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from ..config import Address
+from ..connection_pool import Pool
 from ..jsonrpc import Code, Id, Peer, RpcError
 from ..loop import Loop
-from ..pool import Pool
 
 
 class Nobody:
--- a/yewhook/toolcalls/workers.py
+++ b/yewhook/toolcalls/workers.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from .. import reports
+from .. import load_reports
 from ..config import Address
 from ..core.ending import Ending
 from ..front import AttemptsOut, Release
 from ..jsonrpc import Code, Id, Late, Peer, RpcError
 from ..loop import Loop
-from ..registry import Registry
 from ..releases import Done
+from ..worker_list import Registry
 from .endings import of_worker
 from .peers import PeerPool
 from .tools import ToolCall, Tools
@@ -124,8 +124,8 @@
             return self.workers.end(self, of_worker(error))
         body = result if isinstance(result, dict) else {}
         ending = Ending.READ if body.get("read") is True else Ending.SERVED
-        load = reports.load(body.get("load"), self.workers.columns)
-        return self.workers.end(self, ending, reports.count(body.get("cachedTokens")), load)
+        load = load_reports.load(body.get("load"), self.workers.columns)
+        return self.workers.end(self, ending, load_reports.count(body.get("cachedTokens")), load)
 
     # ---- giving up ----
 
--- a/yewlab/lists.py
+++ b/yewlab/lists.py
@@ -13,7 +13,7 @@
 from hopshed.control import Controller
 from yewhook.config import translate
 from yewhook.log import Log
-from yewhook.registry import Registry
+from yewhook.worker_list import Registry
 
 REPEATS = 25
 CHANGED_PART, CELL = 5, 6  # one entry in so many changes its state each time; workers of a cell
--- a/yewlab/memory.py
+++ b/yewlab/memory.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from yewhook.oversight import resident
+from yewhook.service_level_admin import resident
 
 STARTS, SETTLE = 5, 1.5  # processes of each kind; s until memory is read
 JSON_LINES = '[log]\nform = "json"\n[levels]\nmode = "on"\n'
@@ -31,7 +31,8 @@
 def measure(root: Path) -> Iterator[Cost]:
     """Routers of the program in that folder: plain, with levels, with JSON lines, as far as it has them."""
     yield _cost("no operators' file", root, None)
-    if (root / "yewhook" / "operators.py").exists():
+    # Earlier releases have the module that reads the settings file under its former name.
+    if any((root / "yewhook" / name).exists() for name in ("settings_file.py", "operators.py")):
         yield _cost("levels on", root, LEVELS_ON)
         yield _cost("levels on, JSON lines", root, JSON_LINES)
 
--- a/yewlab/power.py
+++ b/yewlab/power.py
@@ -13,10 +13,10 @@
 
 from hopshed import interface as i
 from hopshed.interface import ListKind, Role
+from yewhook.recovery.peer_messages import Speaker, unpack
+from yewhook.recovery.peer_messages import pack as pack_word
 from yewhook.recovery.recovery import Past, Usual, usual
 from yewhook.recovery.settings import RecoverySettings
-from yewhook.recovery.words import Speaker, unpack
-from yewhook.recovery.words import pack as pack_word
 
 from .host import Hosted
 from .levels import ON, processes
--- a/yewlab/processes/power.py
+++ b/yewlab/processes/power.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from hopshed.interface import Role
-from yewhook.operations.form import FormError, unseal
+from yewhook.operations.handover_encoding import FormError, unseal
 from yewhook.recovery.snapshot import NAME, Snapshot, pack
-from yewhook.registry import server_id
+from yewhook.worker_list import server_id
 
 from .agent import AgentSide
 from .clients import Tally
--- a/yewlab/processes/register.py
+++ b/yewlab/processes/register.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from yewhook.loop import Loop
-from yewhook.registry import server_id
+from yewhook.worker_list import server_id
 
 from .net import Listener, Request, ServerSide
 
--- a/yewlab/processes/workers.py
+++ b/yewlab/processes/workers.py
@@ -9,7 +9,7 @@
 
 from hopshed.interface import Role
 from yewhook.loop import Loop
-from yewhook.registry import server_id
+from yewhook.worker_list import server_id
 from yewlab.costs import Costs, whole_work
 from yewlab.engines import Engine, Job, Server
 from yewlab.rules import Rules
