--- a/hopshed/backlog.py
+++ b/hopshed/backlog.py
@@ -34,11 +34,11 @@
 
     def wait(self, now: float) -> float:
         """How long a read that is sent now has to wait."""
-        return self._left(now) * self.stretch(now) + self.excess.faded(now, EXCESS_FADES)
+        return self._left(now) * self.stretch(now) + self.excess.decayed(now, EXCESS_FADES)
 
     def stretch(self, now: float) -> float:
         """How many times the common pace's time a read takes there."""
-        return 1.0 + self.slower.faded(now, SLOW_FADES)
+        return 1.0 + self.slower.decayed(now, SLOW_FADES)
 
     def _left(self, now: float) -> float:
         return max(0.0, self.queue - (now - self.at) / self.stretch(now)) if self.queue else 0.0
@@ -47,7 +47,7 @@
         """A read is sent there; returns its mark for `read`."""
         self.queue, self.at = min(QUEUE_MOST, self._left(now) + work), now
         self.sent += work
-        self.rate.bump(work / RATE_MEMORY, now, RATE_MEMORY)
+        self.rate.add(work / RATE_MEMORY, now, RATE_MEMORY)
         return self.sent
 
     def read(self, mark: float, took: float, expected: float, now: float) -> None:
@@ -66,8 +66,8 @@
 
     def told(self, excess: float, now: float) -> None:
         """Another router waited so much longer than the queue explains."""
-        self.excess = Estimate(max(excess, self.excess.faded(now, EXCESS_FADES)), now)
+        self.excess = Estimate(max(excess, self.excess.decayed(now, EXCESS_FADES)), now)
 
     def share(self, now: float) -> float:
         """The part of its time that the server spends on reading, of late."""
-        return self.rate.faded(now, RATE_MEMORY)
+        return self.rate.decayed(now, RATE_MEMORY)
--- a/hopshed/control.py
+++ b/hopshed/control.py
@@ -28,7 +28,7 @@
 from .quota import Quotas
 from .read_pace import Paces
 from .rendezvous import Rendezvous, rank
-from .slow_start import WORK_MEMORY, SlowStart
+from .slow_start import WORK_RATE_TIME_CONSTANT_S, SlowStart
 from .state import Attempt, Request, Session, Worker, drop_before
 from .topology import Topology
 from .zone_reachability import ZoneReachability
@@ -63,7 +63,7 @@
         self, settings: i.Settings, seed: int, explain: Callable[[str, str], None] | None = None
     ) -> None:
         """`explain` hears the id of each request that is not served, and why, for the log."""
-        self.s, self.random = settings, Random(seed)
+        self.settings, self.random = settings, Random(seed)
         self._explain = explain
         self.steered = not {"utilization", "memory_share"}.isdisjoint(settings.report_fields)
         self.tells = bool({"queued", "backlog_tokens"} & set(settings.report_fields))  # readers' queues
@@ -94,9 +94,9 @@
         self.timer = 0
         self.log_at = -math.inf
         self.ask_at, self.ask_wait = math.inf, ASK_FIRST
-        self.acts: list[i.Action] = []
+        self.actions: list[i.Action] = []
         self.counts: dict[str, int] = {}  # for the log: what was refused or tried again, and why
-        self.on: dict[type, Callable[[Any, float], None]] = {
+        self.handlers: dict[type, Callable[[Any, float], None]] = {
             i.RequestArrived: self._arrived,
             i.AttemptEnded: self._ended,
             i.StreamStarted: self._started,
@@ -111,12 +111,12 @@
         }
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
-        self.acts = []
+        self.actions = []
         if not self.timer:
             self._set_timer()
-            self.acts += [i.Subscribe()] if self.s.subscribe else []
+            self.actions += [i.Subscribe()] if self.settings.subscribe else []
         for ev in events:
-            self.on[type(ev)](ev, now)
+            self.handlers[type(ev)](ev, now)
         self._pump(now)
         for ev in events:  # a client may come with less time left than the next tick needs
             req = self.requests.get(ev.id) if isinstance(ev, i.RequestArrived) else None
@@ -124,13 +124,13 @@
                 self._finish(req, "no room in time")
             elif req is not None and req.held and self.service.certain and not req.ev.resumed:
                 self._finish(req, "no certain room", gave_way=True)
-        return self.acts
+        return self.actions
 
     def _told_of(self, ev: i.PeerSaid, now: float) -> None:
         try:
             word = self.gossip.hear(ev.data, now)
         except ValueError as error:
-            return self.acts.append(i.Log(f"router {ev.sender} sent {error}"))
+            return self.actions.append(i.Log(f"router {ev.sender} sent {error}"))
         if isinstance(word, Slow) and (w := self.workers.get(word.server)) is not None:
             w.backlog.told(word.wait, now)
             w.wait, w.wait_at = max(word.wait, self.waits.at(w, now)), now
@@ -148,8 +148,8 @@
 
     def _listed(self, ev: i.ServersListed, now: float) -> None:
         if ev.kind is i.ListKind.FAILED:  # ask again, later each time; the old list stays good meanwhile
-            self.ask_at = now + self.ask_wait if self.s.subscribe else math.inf
-            self.ask_wait = min(2 * self.ask_wait, self.s.ask_within / 2)
+            self.ask_at = now + self.ask_wait if self.settings.subscribe else math.inf
+            self.ask_wait = min(2 * self.ask_wait, self.settings.ask_within / 2)
             return
         self.ask_wait = ASK_FIRST
         only_changes = ev.kind is i.ListKind.CHANGES
@@ -158,10 +158,10 @@
         for info in ev.servers:
             w = self.workers.get(info.id)
             if w is None:
-                if not 0 <= info.kind < len(self.s.roles):
+                if not 0 <= info.kind < len(self.settings.roles):
                     continue
                 listed = now if only_changes else -math.inf
-                w = self.workers[info.id] = Worker(info, self.s.roles[info.kind], now, listed)
+                w = self.workers[info.id] = Worker(info, self.settings.roles[info.kind], now, listed)
                 started.append(w)
             elif info.started != w.info.started and info.started is not None:  # a new process
                 w.forget(now)
@@ -223,7 +223,7 @@
             req.state = None
 
     def _arrived(self, ev: i.RequestArrived, now: float) -> None:
-        aim = self.s.classes[ev.cls].aim_of(ev.prompt_tokens)
+        aim = self.settings.classes[ev.cls].aim_of(ev.prompt_tokens)
         tenant = min(ev.tenant, len(self.leaving) - 1)
         if self.leaving[tenant] > LEAVE_SHARE:
             # Reads for clients who leave early run on and serve nobody (i547495); hurts if only some hurry.
@@ -239,7 +239,7 @@
         old = self.class_tokens[ev.cls]
         self.class_tokens[ev.cls] = old + SLOW_GAIN * (ev.prompt_tokens - old) if old else ev.prompt_tokens
         self.room.arrived(ev.prompt_tokens + ev.max_tokens / 2)
-        req.over = self.quotas.over(ev.tenant, now)
+        req.over = self.quotas.over_quota(ev.tenant, now)
         if ev.admit < 1.0 and self.random.random() >= ev.admit:
             req.held = False
             return self._finish(req, f"gave way at {self.service.name or 'full'}", gave_way=True)
@@ -279,7 +279,7 @@
         elif ev.outcome is i.Outcome.FULL:
             w.life = now
             if ev.note == 1:  # it may be cut off and not gone, and would stay pinned at its reader
-                self.acts.append(i.ReleaseState(ev.id))
+                self.actions.append(i.ReleaseState(ev.id))
                 req.state = None
             else:
                 self.room.cut(w)
@@ -294,7 +294,7 @@
             if ev.outcome is i.Outcome.TIMED_OUT and not a.streaming:
                 self._tell_wait(w, ev.latency - a.wait, now)
             if ev.outcome is i.Outcome.FAILED and (word := self.gossip.failed(w.info.id, now)):
-                self.acts.append(i.Tell(word))
+                self.actions.append(i.Tell(word))
         if ev.outcome is i.Outcome.CANCELED and not a.streaming:  # it would have waited longer still
             self._learn_wait(w, max(ev.latency, self.waits.at(w, now)), now, a.wait)
         if ev.outcome not in (i.Outcome.UNREACHABLE, i.Outcome.NOT_SENT):  # these have reached nobody
@@ -325,7 +325,7 @@
 
     def _tell_wait(self, w: Worker, wait: float, now: float) -> None:
         if self.waits.stands_out(w, wait, now) and (word := self.gossip.slow(w.info.id, wait, now)):
-            self.acts.append(i.Tell(word))
+            self.actions.append(i.Tell(word))
 
     def _remember(self, req: Request, w: Worker, now: float) -> None:
         session = self.sessions.pop(req.ev.session, None) or Session()  # kept in the order of last use
@@ -340,7 +340,7 @@
         mean = self.stream_time[req.ev.cls]
         self.stream_time[req.ev.cls] = mean = mean + SLOW_GAIN * (stream - mean) if mean else stream
         a.server.drag += SLOW_GAIN * (min(DRAG_MAX, stream / max(mean, 1e-3)) - a.server.drag)
-        stream = min(stream, self.s.classes[req.ev.cls].token_aim * req.ev.max_tokens)
+        stream = min(stream, self.settings.classes[req.ev.cls].token_aim * req.ev.max_tokens)
         read = sum(b.tokens for b in req.attempts if b.outcome in (i.Outcome.READ, i.Outcome.OK))
         if session := self.sessions.get(req.ev.session):
             session.cst += stream + read * self.paces.of[i.Role.READER]
@@ -371,24 +371,24 @@
     def _eject(self, w: Worker, now: float, silent: bool) -> None:
         if not self.health.eject(w, self._peers(w), now):
             return
-        self.acts.append(i.Log(f"eject {w.info.id} {'silent' if silent else 'failing'} at {now:.1f}"))
+        self.actions.append(i.Log(f"eject {w.info.id} {'silent' if silent else 'failing'} at {now:.1f}"))
         if not silent:
             return
         # What waits there would run into its time-outs; streams there stand still.
-        moves = max(1, int(MOVE_SHARE * sum(self.room.streams.values()))) if self.s.may_resume else 0
+        moves = max(1, int(MOVE_SHARE * sum(self.room.streams.values()))) if self.settings.may_resume else 0
         for req in list(self.requests.values()):
             for n, a in enumerate(req.attempts):
                 if a.server is w and a.live and a.streaming and moves > 0:
                     moves -= 1
-                    self.acts.append(i.MoveStream(req.ev.id))
+                    self.actions.append(i.MoveStream(req.ev.id))
                 elif (
                     a.server is w
                     and a.live
                     and not a.streaming
-                    and self.s.may_cancel
-                    and (a.read or self.s.classes[req.ev.cls].effect is i.Effect.SAFE)
+                    and self.settings.may_cancel
+                    and (a.read or self.settings.classes[req.ev.cls].effect is i.Effect.SAFE)
                 ):
-                    self.acts.append(i.CancelAttempt(req.ev.id, n))
+                    self.actions.append(i.CancelAttempt(req.ev.id, n))
 
     def _usable(self, w: Worker, now: float, req: Request | None = None) -> bool:
         if w.settled:
@@ -411,7 +411,7 @@
         pool = [w for w in pool if w.settled or self._usable(w, now, req)]
         if cut_off := self.zones.cut_off(now):
             pool = [w for w in pool if w.info.zone not in cut_off] or pool
-        if req is not None and self.s.classes[req.ev.cls].effect is i.Effect.UNSAFE:
+        if req is not None and self.settings.classes[req.ev.cls].effect is i.Effect.UNSAFE:
             return self.health.undoubted(pool, now) or pool
         return pool
 
@@ -433,7 +433,7 @@
         self.room.smoothed_until(now)
         # Reading slows mixed servers' answers, so it is held to a part of their time, all taken together.
         both = self.fleet.by_role[i.Role.MIXED]
-        reads = self.reading[i.Role.MIXED].faded(now, WORK_MEMORY) * self.s.instances
+        reads = self.reading[i.Role.MIXED].decayed(now, WORK_RATE_TIME_CONSTANT_S) * self.settings.instances
         if both and self.waits.told(both[0]):
             reads = sum(w.backlog.share(now) for w in both)
         busy = reads / max(1, self.topology.running[i.Role.MIXED])
@@ -583,9 +583,9 @@
 
     def _may_send(self, req: Request, w: Worker, now: float) -> bool:
         """The repeat rule: attempts that may have run bind where, and whether, the request may go again."""
-        if len(req.attempts) >= self.s.max_attempts or req.out:
+        if len(req.attempts) >= self.settings.max_attempts or req.out:
             return False
-        cls, ran = self.s.classes[req.ev.cls], req.ran
+        cls, ran = self.settings.classes[req.ev.cls], req.ran
         if cls.effect is i.Effect.SAFE or not ran:
             return True
         if cls.effect is i.Effect.UNSAFE or now - ran[0].sent > cls.dedup_window - ON_ITS_WAY:
@@ -610,20 +610,22 @@
             a.wait, a.mark = w.backlog.wait(now), w.backlog.add(work, now)
             if self.waits.told(w):
                 word = self.gossip.reading(w.info.id, work, req.ev.prefix, self.random.random())
-                self.acts += [i.Tell(word)] if word else []
+                self.actions += [i.Tell(word)] if word else []
         req.attempts.append(a)
         w.book(a)
         self.attempts_out += 1
         self.reads_out += read
         self.room.streams[w.role] += not read
         weight = self._weight(req)
-        w.work.bump(weight / WORK_MEMORY, now, WORK_MEMORY)
+        w.work.add(weight / WORK_RATE_TIME_CONSTANT_S, now, WORK_RATE_TIME_CONSTANT_S)
         self.slow_start.changed()
         w.cold_level -= weight
-        self.reading[w.role].bump(fresh * self.paces.of[w.role] / WORK_MEMORY, now, WORK_MEMORY)
+        self.reading[w.role].add(
+            fresh * self.paces.of[w.role] / WORK_RATE_TIME_CONSTANT_S, now, WORK_RATE_TIME_CONSTANT_S
+        )
         if w.role is i.Role.MIXED:
             self._remember(req, w, now)
-        self.acts.append(i.Send(req.ev.id, w.info.id, timeout))
+        self.actions.append(i.Send(req.ev.id, w.info.id, timeout))
         if read and self.steered:
             req.pair = self._pair(req, w, now)
             for w in self.probes.drawn(req.pair, now):
@@ -632,13 +634,13 @@
     def _further(self, req: Request, now: float) -> None:
         """A released request with nothing out: hand its state over, read it (again), or end it."""
         first = req.attempts[-1].outcome is i.Outcome.READ
-        if req.deadline - now < LAST_CALL or len(req.attempts) >= self.s.max_attempts:
+        if req.deadline - now < LAST_CALL or len(req.attempts) >= self.settings.max_attempts:
             return self._finish(req, "out of time" if req.deadline - now < LAST_CALL else "out of attempts")
         if not first and self.retries < 1:
             return self._finish(req, "retry budget spent")
         if req.state is not None:
             w = self._writer(req, now)
-            waits = now - req.state_since <= STATE_HOLD * self.s.release_within
+            waits = now - req.state_since <= STATE_HOLD * self.settings.release_within
             if waits and w is not None and self._may_send(req, w, now):
                 return self._send(req, w, now, read=False)
             if waits and w is None:
@@ -657,33 +659,33 @@
         if self._explain is not None:
             self._explain(req.ev.id, why)
         self.leaving[req.tenant] *= 1 - LEAVE_FADE  # a bounded aim must not keep itself up
-        cls = self.s.classes[req.ev.cls]
+        cls = self.settings.classes[req.ev.cls]
         if (
             not req.ran
             or cls.effect is i.Effect.SAFE
             or (cls.effect, cls.group) == (i.Effect.KEYED, i.Group.ALL)
         ):
-            after = min(self.random.uniform(*RETRY_AFTER), self.s.max_retry_after)
+            after = min(self.random.uniform(*RETRY_AFTER), self.settings.max_retry_after)
             if self.service.name:  # spread below the longest that clients follow, later at a worse level
                 least, most = self.service.retry_after
-                after = self.random.uniform(least / most, 1.0) * min(most, self.s.max_retry_after)
-            self.acts.append(i.Refuse(req.ev.id, after if self.s.retry_advice else 0.0, gave_way))
+                after = self.random.uniform(least / most, 1.0) * min(most, self.settings.max_retry_after)
+            self.actions.append(i.Refuse(req.ev.id, after if self.settings.retry_advice else 0.0, gave_way))
         else:
-            self.acts.append(i.Fail(req.ev.id))
+            self.actions.append(i.Fail(req.ev.id))
         self._close(req)
 
     def _close(self, req: Request) -> None:
         req.done = True
         self.queue.remove(req)
-        if self.s.may_cancel:
+        if self.settings.may_cancel:
             waits = [n for n, a in enumerate(req.attempts) if a.live and not a.streaming]
-            self.acts += [i.CancelAttempt(req.ev.id, n) for n in waits]
+            self.actions += [i.CancelAttempt(req.ev.id, n) for n in waits]
         self._drop(req)
 
     def _drop(self, req: Request) -> None:
         if not req.out:
             if req.state is not None:
-                self.acts.append(i.ReleaseState(req.ev.id))
+                self.actions.append(i.ReleaseState(req.ev.id))
                 req.state = None
             self.requests.pop(req.ev.id, None)
 
@@ -693,7 +695,7 @@
 
     def _set_timer(self) -> None:
         self.timer += 1
-        self.acts.append(i.SetTimer(TICK, self.timer))
+        self.actions.append(i.SetTimer(TICK, self.timer))
 
     def _tick(self, ev: i.TimerFired, now: float) -> None:
         if ev.token != self.timer:
@@ -701,7 +703,7 @@
         self._set_timer()
         if now >= self.ask_at:
             self.ask_at = math.inf
-            self.acts.append(i.Subscribe())
+            self.actions.append(i.Subscribe())
         fetch = self.waits.of_role(i.Role.WRITER, now)
         for req in list(self.requests.values()):
             if req.held:
@@ -716,7 +718,7 @@
         if self.timer % LOOK_EVERY == 0:
             self._look_for_silent(now)
         if self.counts and now - self.log_at >= LOG_EVERY:
-            self.acts.append(i.Log("; ".join(f"{why}: {n}" for why, n in self.counts.items())))
+            self.actions.append(i.Log("; ".join(f"{why}: {n}" for why, n in self.counts.items())))
             self.counts, self.log_at = {}, now
 
     def _forget(self, now: float) -> None:
@@ -736,4 +738,4 @@
     def _probe(self, w: Worker, now: float) -> None:
         if self.probes.may(w):
             w.probing, w.probe_at = True, now
-            self.acts.append(i.Probe(w.info.id))
+            self.actions.append(i.Probe(w.info.id))
--- a/hopshed/estimate.py
+++ b/hopshed/estimate.py
@@ -13,12 +13,12 @@
     value: float = 0.0
     at: float = -math.inf
 
-    def faded(self, now: float, constant: float) -> float:
+    def decayed(self, now: float, constant: float) -> float:
         return self.value * math.exp((self.at - now) / constant)
 
-    def bump(self, amount: float, now: float, constant: float) -> None:
-        self.value, self.at = self.faded(now, constant) + amount, now
+    def add(self, amount: float, now: float, constant: float) -> None:
+        self.value, self.at = self.decayed(now, constant) + amount, now
 
     def learn(self, sample: float, now: float, gain: float, constant: float) -> None:
-        faded = self.faded(now, constant)
+        faded = self.decayed(now, constant)
         self.value, self.at = faded + gain * (sample - faded), now
--- a/hopshed/handover.py
+++ b/hopshed/handover.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learnt:
+class LearnedServer:
     """Of one server, under the names of `state.Worker`."""
 
     listed: float
@@ -39,8 +39,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
-    servers: dict[int, Learnt]
+class LearnedState:
+    servers: dict[int, LearnedServer]
     work: dict[int, Estimate]  # server -> rate of work sent there
     sessions: list[tuple[str, Session]]  # in the order of last use, as the next two
     kept: list[tuple[int, str, Estimate]]  # server, beginning
@@ -55,19 +55,19 @@
     words: tuple[dict[int, float], dict[int, float], dict[int, float]]  # failing heard, said; waits
 
 
-def take(c: Controller) -> Knowledge:
+def split_state(c: Controller) -> LearnedState:
     """What a controller knows, for one beside it; half of each cold server's budget goes with it."""
     for worker in c.workers.values():
         if worker.cold_level > 0:
             worker.cold_level /= 2
-    return know(c)
+    return export_state(c)
 
 
-def know(c: Controller) -> Knowledge:
+def export_state(c: Controller) -> LearnedState:
     """What a controller knows; it goes on with all of it."""
-    names = [field.name for field in fields(Learnt)]
-    return Knowledge(
-        servers={n: Learnt(*(getattr(w, name) for name in names)) for n, w in c.workers.items()},
+    names = [field.name for field in fields(LearnedServer)]
+    return LearnedState(
+        servers={n: LearnedServer(*(getattr(w, name) for name in names)) for n, w in c.workers.items()},
         work={n: w.work for n, w in c.workers.items()},
         sessions=list(c.sessions.items())[-SESSIONS_MOST:],
         kept=[(n, key, used) for (n, key), used in list(c.prefix_cache.uses.items())[-KEPT_MOST:]],
@@ -83,7 +83,7 @@
     )
 
 
-def give(c: Controller, known: Knowledge, now: float) -> None:
+def import_state(c: Controller, known: LearnedState, now: float) -> None:
     """Let a controller that has heard its list, and nothing else, go on from another's knowledge.
 
     Raises ValueError where the two were made for other settings; then nothing has changed."""
@@ -91,7 +91,7 @@
         raise ValueError("other classes or tenants")
     for number, learnt in known.servers.items():
         if (worker := c.workers.get(number)) is not None:
-            for field in fields(Learnt):
+            for field in fields(LearnedServer):
                 setattr(worker, field.name, getattr(learnt, field.name))
             worker.work = known.work.get(number, Estimate())
             worker.settled = False
@@ -108,7 +108,7 @@
     c.gossip.resume(known.words)
 
 
-def remind(c: Controller, known: Knowledge) -> None:
+def merge_state(c: Controller, known: LearnedState) -> None:
     """Let a controller that serves already know what an earlier one knew; what it has learnt itself stands.
 
     Of servers only those count that it has not met yet."""
--- a/hopshed/popularity.py
+++ b/hopshed/popularity.py
@@ -16,14 +16,14 @@
     def came(self, prefix: str | None, now: float) -> None:
         for key in ("", prefix) if prefix else ():
             seen = self.seen[key] = self.seen.pop(key, Estimate())
-            seen.bump(1.0, now, FADES)
+            seen.add(1.0, now, FADES)
 
     def homes(self, prefix: str | None, count: int, now: float) -> int:
         """A beginning's homes among so many servers, by its part of our turns, so that none fills alone."""
         if not (seen := self.seen.get(prefix or "")):
             return 1
-        total = self.seen[""].faded(now, FADES)
-        return max(1, round((seen.faded(now, FADES) - 1) / (total + DOUBT) * count))
+        total = self.seen[""].decayed(now, FADES)
+        return max(1, round((seen.decayed(now, FADES) - 1) / (total + DOUBT) * count))
 
     def fade(self, now: float) -> None:
         drop_before(self.seen, now - DROPPED)
--- a/hopshed/queue_waits.py
+++ b/hopshed/queue_waits.py
@@ -50,7 +50,7 @@
 
     def of_role(self, role: Role, now: float) -> float:
         """The wait common to the servers of a role; it fades when nothing confirms it."""
-        return self.by_role[role].faded(now, self._span)
+        return self.by_role[role].decayed(now, self._span)
 
     def learn(self, w: Worker, sample: float, now: float, believed: float) -> float:
         """Take in a wait at a server, of which so much was believed; the wait that others should know of."""
--- a/hopshed/quota.py
+++ b/hopshed/quota.py
@@ -15,7 +15,7 @@
         self._rates = [tenant.quota_per_s / settings.instances for tenant in settings.tenants]
         self.buckets = [Bucket() for _ in settings.tenants]
 
-    def over(self, tenant: int, now: float) -> bool:
+    def over_quota(self, tenant: int, now: float) -> bool:
         """Book one turn of a client; whether it is beyond its quota. A client without one never is."""
         if tenant >= len(self._rates) or self._rates[tenant] <= 0:
             return False
--- a/hopshed/role_usage.py
+++ b/hopshed/role_usage.py
@@ -4,7 +4,7 @@
 
 from .control import Controller
 from .interface import Role, RoleUsage
-from .slow_start import WORK_MEMORY
+from .slow_start import WORK_RATE_TIME_CONSTANT_S
 
 
 def role_usage(c: Controller, now: float) -> dict[Role, RoleUsage]:
@@ -16,8 +16,8 @@
     pool = c.pool(role, now)
     usable = sum(c.slow_start.able(w, now) for w in pool)
     if role is Role.READER:
-        read = c.reading[role].faded(now, WORK_MEMORY) * c.s.instances
-        busy = read / max(usable, c.s.cold_from)
+        read = c.reading[role].decayed(now, WORK_RATE_TIME_CONSTANT_S) * c.settings.instances
+        busy = read / max(usable, c.settings.cold_from)
     else:
         out = sum(w.streams for w in pool)
         busy = out / (out + c.room.together(pool, now)) if out else 0.0
--- a/hopshed/slow_start.py
+++ b/hopshed/slow_start.py
@@ -18,7 +18,7 @@
 # Servers of a role from which on they are looked at anew after a while only, and that while in s for each
 # server: some 100 times what a look costs, and little of the time in which the rate moves.
 MANY, RATE_KEPT = 256, 5e-5
-WORK_MEMORY = 5.0  # s; time constant of the measured rate of work sent to a server
+WORK_RATE_TIME_CONSTANT_S = 5.0  # s; time constant of the measured rate of work sent to a server
 
 
 class _Look(NamedTuple, Generic[T]):
@@ -76,7 +76,7 @@
         return look.shown
 
     def _measured_rate(self, role: Role, peers: Sequence[Worker], now: float) -> float:
-        rates = [(p.work.faded(now, WORK_MEMORY), self.cold(p, now)) for p in peers]
+        rates = [(p.work.decayed(now, WORK_RATE_TIME_CONSTANT_S), self.cold(p, now)) for p in peers]
         warm = [rate for rate, cold in rates if not cold]
         if not warm:
             taken = FLOOR / self.s.instances
--- a/tests/levels/test_admission.py
+++ b/tests/levels/test_admission.py
@@ -14,13 +14,13 @@
 from yewhook.levels.admission import admit
 from yewhook.levels.fairness import max_min
 from yewhook.levels.level import Level
-from yewhook.levels.turns import Kind, Standing, Turns, top_classes
+from yewhook.levels.turns import Kind, RefusalLoss, Turns, top_classes
 from yewlab import site
 
 LOOKUP, LOG = site.LOOKUP, site.LOG
 SETTINGS = site.settings(quota=20.0)
 TOP = frozenset({LOG})
-KINDS = [Kind(*key) for key in product((LOOKUP, LOG), Standing, (False, True), (False, True))]
+KINDS = [Kind(*key) for key in product((LOOKUP, LOG), RefusalLoss, (False, True), (False, True))]
 
 amounts = st.floats(0.0, 1000.0)
 demands = st.lists(st.dictionaries(st.sampled_from(KINDS), amounts, max_size=12), min_size=3, max_size=3)
@@ -43,7 +43,7 @@
 
 
 def test_one_client_at_five_times_its_share_takes_nothing_from_the_others() -> None:
-    new = Kind(LOOKUP, Standing.NEW, False, False)
+    new = Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, False)
     shares = [0.59, 0.23, 0.18]
     demand = [{new: 5 * 100 * shares[0]}, {new: 100 * shares[1]}, {new: 100 * shares[2]}]
     admitted = admit(Level.ESSENTIAL, demand, 100.0, SETTINGS, TOP)
@@ -52,7 +52,7 @@
 
 
 def test_unused_share_goes_to_others() -> None:
-    new = Kind(LOOKUP, Standing.NEW, False, False)
+    new = Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, False)
     admitted = admit(Level.ESSENTIAL, [{new: 10.0}, {new: 60.0}, {new: 60.0}], 100.0, SETTINGS, TOP)
     assert admitted[0][new] == 1.0
     assert admitted[1][new] > admitted[2][new] > 0.6
@@ -60,13 +60,13 @@
 
 def test_what_is_worth_least_for_its_work_goes_first() -> None:
     kinds = {
-        Kind(LOOKUP, Standing.REPEAT, False, False): 10.0,
-        Kind(LOOKUP, Standing.NEW, True, False): 10.0,
-        Kind(LOOKUP, Standing.NEW, False, True): 10.0,
-        Kind(LOOKUP, Standing.NEW, False, False): 10.0,
-        Kind(LOOKUP, Standing.UNDER_WAY, False, False): 10.0,
-        Kind(LOG, Standing.NEW, False, False): 10.0,
-        Kind(LOG, Standing.BACK, False, False): 10.0,
+        Kind(LOOKUP, RefusalLoss.CLIENT_RETRY, False, False): 10.0,
+        Kind(LOOKUP, RefusalLoss.NEW_SESSION, True, False): 10.0,
+        Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, True): 10.0,
+        Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, False): 10.0,
+        Kind(LOOKUP, RefusalLoss.OPEN_SESSION, False, False): 10.0,
+        Kind(LOG, RefusalLoss.NEW_SESSION, False, False): 10.0,
+        Kind(LOG, RefusalLoss.RESUMED_STREAM, False, False): 10.0,
     }
     order = list(kinds)
 
@@ -131,7 +131,7 @@
 
 def test_at_a_threshold_nothing_changes_at_once() -> None:
     # All or nothing at load 1 would make the load swing by itself.
-    new = Kind(LOOKUP, Standing.NEW, False, False)
+    new = Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, False)
     demand: list[dict[Kind, float]] = [{new: 59.0}, {new: 23.0}, {new: 18.0}]
     shares = [admit(Level.ESSENTIAL, demand, c, SETTINGS, TOP)[0][new] for c in (101.0, 100.0, 99.0, 98.0)]
     assert shares == pytest.approx([1.0, 1.0, 0.99, 0.98], abs=1e-6)
@@ -144,14 +144,14 @@
 
 def test_turns_are_told_apart_by_what_their_refusal_would_lose() -> None:
     turns = Turns(SETTINGS, 1.5)
-    assert turns.sort(arrival("a"), 1.0).kind.standing is Standing.NEW
-    assert turns.sort(arrival("b", repeat=True), 1.0).kind.standing is Standing.REPEAT
+    assert turns.sort(arrival("a"), 1.0).kind.refusal_loss is RefusalLoss.NEW_SESSION
+    assert turns.sort(arrival("b", repeat=True), 1.0).kind.refusal_loss is RefusalLoss.CLIENT_RETRY
     turns.begun("sa", 1.0)
     again = turns.sort(arrival("c", session="sa", repeat=True), 2.0)
-    assert again.kind.standing is Standing.UNDER_WAY and again.repeat
-    assert turns.sort(arrival("d", resumed=True), 2.0).kind.standing is Standing.BACK
+    assert again.kind.refusal_loss is RefusalLoss.OPEN_SESSION and again.repeat
+    assert turns.sort(arrival("d", resumed=True), 2.0).kind.refusal_loss is RefusalLoss.RESUMED_STREAM
     assert turns.sort(arrival("e", prompt_tokens=30000.0), 3.0).kind.long
-    burst = [turns.sort(arrival(f"f{n}", tenant=2), 4.0).kind.over for n in range(40)]
+    burst = [turns.sort(arrival(f"f{n}", tenant=2), 4.0).kind.over_share for n in range(40)]
     assert not burst[0] and burst[-1]  # its quota is 3.6 a second
 
 
--- a/tests/levels/test_at_a_router.py
+++ b/tests/levels/test_at_a_router.py
@@ -16,8 +16,8 @@
 from yewhook.front import RouterFront
 from yewhook.levels.level import Level
 from yewhook.levels.settings import LevelsSettings, Mode
-from yewhook.log import Form, Log
-from yewhook.service_level_admin import Oversight
+from yewhook.log import Log, LogFormat
+from yewhook.service_level_admin import ServiceLevelAdmin
 from yewhook.service_settings import ServiceSettings
 
 QUICK = LevelsSettings(mode=Mode.ON, confirm=0.5, least_stay=1.0, leave_after=2.0, leave_spread=0.0)
@@ -30,10 +30,10 @@
         super().__init__(FLEET)
         self.settings = settings
         fronts: list[RouterFront] = [self.front]
-        self.oversight = Oversight(
+        self.level_admin = ServiceLevelAdmin(
             self.service.loop, self.log, self.config.limits, fronts, settings, self.read
         )
-        self.service.files.append(self.oversight.reload)
+        self.service.reloaders.append(self.level_admin.reload)
 
     def read(self) -> ServiceSettings:
         if self.settings.levels.target == 0.5:
@@ -42,7 +42,7 @@
 
     @property
     def level(self) -> str:
-        return str(self.oversight.report()["levels"]["platform"]["level"])
+        return str(self.level_admin.report()["levels"]["platform"]["level"])
 
     def said(self, text: str) -> bool:
         return any(text in line for line in self.log.lines)
@@ -86,7 +86,7 @@
     p.settings = ServiceSettings()
     p.service.reload()
     p.play("wait 0.1")
-    assert p.front.levels is None and p.oversight.report()["levels"] == {"platform": None}
+    assert p.front.levels is None and p.level_admin.report()["levels"] == {"platform": None}
     p.settings = ServiceSettings(levels=QUICK)
     p.service.reload()
     p.play("wait 0.5")
@@ -94,10 +94,10 @@
 
 
 def test_a_pin_holds_a_level_and_ends_by_itself(p: Overseen) -> None:
-    p.oversight.pin(Level.LAST_RESORT, 3.0, "drill")
+    p.level_admin.pin(Level.LAST_RESORT, 3.0, "drill")
     p.play("wait 0.5")
     assert p.level == "last-resort" and p.said("level pinned: last-resort for 3 s: drill")
-    pin = p.oversight.report()["levels"]["platform"]["pin"]
+    pin = p.level_admin.report()["levels"]["platform"]["pin"]
     assert pin["reason"] == "drill" and 2.0 < pin["for_s"] < 3.0
     p.play("wait 13")
     assert p.level == "full" and p.said("pin ended")
@@ -106,12 +106,12 @@
 def test_a_level_that_cannot_be_judged_leaves_the_router_at_full_service(
     p: Overseen, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    p.oversight.pin(Level.LAST_RESORT, 60.0, "drill")
+    p.level_admin.pin(Level.LAST_RESORT, 60.0, "drill")
     p.play("wait 0.5")
     monkeypatch.setattr("yewhook.levels.governor.Governor._judge", lambda *_: 1 / 0)
     p.play("wait 0.5")
     assert p.said("levels failed: ") and not p.said("turn failed")
-    assert p.oversight.report()["levels"] == {"platform": None}  # it told of the level of a dead judge
+    assert p.level_admin.report()["levels"] == {"platform": None}  # it told of the level of a dead judge
     p.play(begin("id=r7")).play("writer send stream\nwriter send event text=one\nclient expect one")
 
 
@@ -175,7 +175,7 @@
 
 
 def test_log_lines_can_be_json_with_their_figures(capsys: pytest.CaptureFixture[str]) -> None:
-    log = Log("n1", Form.JSON)
+    log = Log("n1", LogFormat.JSON)
     log("service level", "full to guarded: load 1.04", before="full", after="guarded", value=1.04)
     for _ in range(12):
         log("accept failed", "why")
--- a/tests/levels/test_estimators.py
+++ b/tests/levels/test_estimators.py
@@ -11,7 +11,7 @@
 
 from hopshed import interface as i
 from yewhook.levels.capacity import Capacity
-from yewhook.levels.discovery_health import KEPT, Register
+from yewhook.levels.discovery_health import KEPT, DiscoveryHealth
 from yewhook.levels.estimators import Mean, Quantiles, Rate, Recent, Share
 
 R = i.Role
@@ -114,7 +114,7 @@
 
 def test_doubt_is_the_part_that_sockets_contradict() -> None:
     up, down = i.ServerState.RUNNING, i.ServerState.DRAINING
-    register = Register()
+    register = DiscoveryHealth()
     assert register.doubt(0.0, 99.0) == 0.0
     register.listed(listed(up, up, up, up))
     register.heard(0, i.Outcome.UNREACHABLE, 10.0)
--- a/tests/levels/test_settings_file.py
+++ b/tests/levels/test_settings_file.py
@@ -11,7 +11,7 @@
 from yewhook.config import ConfigError
 from yewhook.levels.level import Level
 from yewhook.levels.settings import LevelsSettings, Mode, Threshold
-from yewhook.log import Form
+from yewhook.log import LogFormat
 from yewhook.settings_file import read
 
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "service.toml"
@@ -26,7 +26,7 @@
 def test_the_deployed_file_says_what_holds_without_one() -> None:
     settings = read(DEPLOYED)
     assert settings.levels == LevelsSettings(mode=Mode.ON)
-    assert settings.log is Form.CONSOLE and settings.pin is None
+    assert settings.log is LogFormat.CONSOLE and settings.pin is None
 
 
 def test_what_is_left_out_keeps_its_default(tmp_path: Path) -> None:
--- a/tests/recovery/test_ramp.py
+++ b/tests/recovery/test_ramp.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewhook.levels.turns import Kind, Standing, Turn
+from yewhook.levels.turns import Kind, RefusalLoss, Turn
 from yewhook.recovery.ramp import LEAST, Ramp, Rank, rank
 from yewhook.recovery.settings import RecoverySettings
 
@@ -14,20 +14,22 @@
 SETTINGS = RecoverySettings()
 
 
-def turn(cls: int = 0, standing: Standing = Standing.NEW, over: bool = False, tenant: int = 0) -> Turn:
+def turn(
+    cls: int = 0, standing: RefusalLoss = RefusalLoss.NEW_SESSION, over: bool = False, tenant: int = 0
+) -> Turn:
     return Turn(Kind(cls, standing, over, False), tenant, 200.0, 2.0, 2.0, 0.0)
 
 
 @pytest.mark.parametrize(
     ("kind", "place"),
     [
-        (Kind(0, Standing.BACK, True, False), Rank.BACK),
-        (Kind(1, Standing.NEW, False, False), Rank.TOP),
-        (Kind(1, Standing.REPEAT, False, True), Rank.TOP),
-        (Kind(1, Standing.NEW, True, False), Rank.BEYOND),
-        (Kind(0, Standing.UNDER_WAY, False, False), Rank.UNDER_WAY),
-        (Kind(0, Standing.NEW, False, False), Rank.NEW),
-        (Kind(0, Standing.REPEAT, False, False), Rank.BEYOND),
+        (Kind(0, RefusalLoss.RESUMED_STREAM, True, False), Rank.BACK),
+        (Kind(1, RefusalLoss.NEW_SESSION, False, False), Rank.TOP),
+        (Kind(1, RefusalLoss.CLIENT_RETRY, False, True), Rank.TOP),
+        (Kind(1, RefusalLoss.NEW_SESSION, True, False), Rank.BEYOND),
+        (Kind(0, RefusalLoss.OPEN_SESSION, False, False), Rank.UNDER_WAY),
+        (Kind(0, RefusalLoss.NEW_SESSION, False, False), Rank.NEW),
+        (Kind(0, RefusalLoss.CLIENT_RETRY, False, False), Rank.BEYOND),
     ],
 )
 def test_the_worthiest_go_first(kind: Kind, place: Rank) -> None:
@@ -57,7 +59,7 @@
     ramp = Ramp(SETTINGS, [1.0], 0.0)
     assert not ramp.admits(turn(), TOP, 0.0)
     assert all(ramp.admits(turn(cls=1), TOP, 0.0) for _ in range(50))
-    assert ramp.admits(turn(standing=Standing.BACK, over=True), TOP, 0.0)
+    assert ramp.admits(turn(standing=RefusalLoss.RESUMED_STREAM, over=True), TOP, 0.0)
 
 
 def test_the_lesser_return_while_answers_are_in_time_and_at_first_by_half_of_what_is_warm() -> None:
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -14,9 +14,9 @@
 from hopshed.interface import ListKind, Outcome, Role, RoleUsage, ServerState
 from yewhook.levels.governor import Governor
 from yewhook.levels.settings import LevelsSettings, Mode
-from yewhook.recovery.peer_messages import Seen, Word
+from yewhook.recovery.peer_messages import PeerMessage, Seen
 from yewhook.recovery.phases import Phase
-from yewhook.recovery.recovery import MISSED_FOR, Past, Recovery, Usual
+from yewhook.recovery.recovery import MISSED_FOR, PreviousRun, Recovery, UsualTraffic
 from yewhook.recovery.restart_scope import Scope
 from yewhook.recovery.settings import RecoverySettings
 from yewlab import site
@@ -34,11 +34,11 @@
 
 
 class Play:
-    def __init__(self, past: Past | None = None) -> None:
+    def __init__(self, past: PreviousRun | None = None) -> None:
         self.said: list[str] = []
         self.recovery = Recovery(RecoverySettings(), MODULE, 100.0, Random(1), self.say)
         if past is not None:
-            self.recovery.remember(past)
+            self.recovery.load_previous_run(past)
         self.now = 100.0
 
     def say(self, event: str, detail: str) -> None:
@@ -46,21 +46,21 @@
 
     def listed(self, servers: tuple[i.Server, ...], generation: int, kind: ListKind = ListKind.FULL) -> Any:
         merged = self.recovery.merge(kind, servers, generation, self.now)
-        self.recovery.hear(i.ServersListed(kind, merged), self.now)
+        self.recovery.observe(i.ServersListed(kind, merged), self.now)
         return {s.id: s.state for s in merged}
 
     def look(self, seconds: float = 0.25, sight: dict[Role, RoleUsage] = SIGHT) -> Phase:
         for _ in range(round(seconds / 0.25)):
             self.now += 0.25
             self.recovery.look(self.now, sight, 1.0)
-        return self.recovery.standing.phase
+        return self.recovery.phase_state.phase
 
     def answered(self, number: int, outcome: Outcome = Outcome.OK) -> None:
-        self.recovery.hear(i.AttemptEnded("r", 0, number, outcome, 0.1, True), self.now)
+        self.recovery.observe(i.AttemptEnded("r", 0, number, outcome, 0.1, True), self.now)
 
 
-def past(*servers: i.Server, generation: int = 40, boot: bool | None = False) -> Past:
-    return Past(90.0, boot, False, generation, servers)
+def past(*servers: i.Server, generation: int = 40, boot: bool | None = False) -> PreviousRun:
+    return PreviousRun(90.0, boot, False, generation, servers)
 
 
 def test_a_register_that_begins_anew_ends_no_worker_by_leaving_it_out() -> None:
@@ -103,17 +103,17 @@
     play = Play(past(*ALL))
     play.recovery.begin(ALL, 100.0)
     play.look()
-    assert not play.recovery.verdict.why
+    assert not play.recovery.scope_estimate.why
     play.listed(tuple(server(n, started=97.0) for n in range(6)), 41)
     play.look()
-    assert play.recovery.verdict.scope is Scope.FLEET
+    assert play.recovery.scope_estimate.scope is Scope.FLEET
     assert sum("restart judged" in line for line in play.said) == 1
 
 
 def test_after_its_own_restart_a_router_serves_in_full_at_once() -> None:
     play = Play(past(*ALL, boot=True))
     play.listed(ALL, 41)
-    assert play.look() is Phase.FULL and play.recovery.verdict.scope is Scope.ALONE
+    assert play.look() is Phase.FULL and play.recovery.scope_estimate.scope is Scope.ALONE
 
 
 def test_after_the_fleets_loss_service_returns_as_workers_show_themselves() -> None:
@@ -122,16 +122,16 @@
     assert play.look(1.0) is Phase.COLD
     play.answered(0, Outcome.READ)  # a reader alone is no way
     assert play.look(1.0) is Phase.COLD
-    play.recovery.heard(2, Word(False, Phase.COLD, 3.0, (Seen(1, True, 0.2),)), play.now)
+    play.recovery.message_received(2, PeerMessage(False, Phase.COLD, 3.0, (Seen(1, True, 0.2),)), play.now)
     assert play.look(0.25) is Phase.TRICKLE  # another router has met a writer
     assert play.look(3.0) is Phase.FULL
     play.look(0.25, {role: RoleUsage(0, 0.0, 0.0) for role in Role})
-    assert play.recovery.standing.phase is Phase.NOTHING  # a second loss
+    assert play.recovery.phase_state.phase is Phase.NOTHING  # a second loss
 
 
 def test_what_is_warm_is_reckoned_from_those_who_have_shown_themselves() -> None:
     play = Play(past(*ALL))
-    play.recovery.expect(Usual(3.0, dict.fromkeys(Role, 2), {}))
+    play.recovery.set_usual_traffic(UsualTraffic(3.0, dict.fromkeys(Role, 2), {}))
     play.listed(tuple(server(n, started=100.0) for n in range(6)), 41)
     for number in range(6):
         play.answered(number)
@@ -190,7 +190,7 @@
 @given(st.lists(st.tuples(st.sampled_from(range(6)), st.booleans()), max_size=30))
 def test_more_evidence_never_makes_it_reckon_with_more_than_there_is(events: list[tuple[int, bool]]) -> None:
     play = Play(past(*ALL))
-    play.recovery.expect(Usual(3.0, dict.fromkeys(Role, 2), {}))
+    play.recovery.set_usual_traffic(UsualTraffic(3.0, dict.fromkeys(Role, 2), {}))
     play.listed(ALL, 41)
     for number, lives in events:
         play.now += 0.5
@@ -202,7 +202,7 @@
 def test_a_first_start_among_workers_that_run_for_long_is_over_at_once() -> None:
     play = Play()
     play.recovery.begin(ALL, 100.0)
-    play.recovery.hear(i.ServersListed(ListKind.SAVED, ALL), 100.0)
+    play.recovery.observe(i.ServersListed(ListKind.SAVED, ALL), 100.0)
     assert play.look(1.0) is Phase.COLD  # the configuration alone says nothing of now
     play.listed(ALL, 1)
     assert play.look(0.25) is Phase.FULL
--- a/tests/recovery/test_restart_scope.py
+++ b/tests/recovery/test_restart_scope.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from yewhook.recovery.restart_scope import Evidence, Scope, judge
+from yewhook.recovery.restart_scope import Evidence, Scope, estimate_scope
 
 BEFORE, AFTER = {n: 50.0 for n in range(4)}, {n: 120.0 for n in range(4)}
 
@@ -29,13 +29,13 @@
     ],
 )
 def test_evidence_decides(seen: Evidence, scope: Scope) -> None:
-    assert judge(seen).scope is scope
+    assert estimate_scope(seen).scope is scope
 
 
 def test_clocks_that_differ_a_little_make_no_loss() -> None:
-    assert judge(Evidence(100.0, True, starts={1: 100.9})).scope is Scope.ALONE
+    assert estimate_scope(Evidence(100.0, True, starts={1: 100.9})).scope is Scope.ALONE
 
 
 def test_a_verdict_says_on_what() -> None:
-    told = str(judge(Evidence(100.0, False, starts=AFTER)))
+    told = str(estimate_scope(Evidence(100.0, False, starts=AFTER)))
     assert "4 of 4 workers began after the snapshot" in told and "started anew" in told
--- a/tests/recovery/test_snapshot_store.py
+++ b/tests/recovery/test_snapshot_store.py
@@ -11,17 +11,17 @@
 from hypothesis import strategies as st
 
 from hopshed.estimate import Estimate
-from hopshed.handover import Knowledge
+from hopshed.handover import LearnedState
 from hopshed.interface import Role
 from hopshed.state import Session
-from yewhook.operations.handover_encoding import FormError, HandOver
-from yewhook.recovery.desired_state import Drained, Wish
-from yewhook.recovery.desired_state_store import Book
+from yewhook.operations.handover_encoding import DecodeError, HandOver
+from yewhook.recovery.desired_state import DesiredInstance, Drained
+from yewhook.recovery.desired_state_store import DesiredStateStore
 from yewhook.recovery.generations import Generations
 from yewhook.recovery.restart_scope import Scope
 from yewhook.recovery.snapshot import Clocks, Snapshot, age, pack, unpack
-from yewhook.recovery.snapshot_restore import recall
-from yewhook.recovery.start_order import due
+from yewhook.recovery.snapshot_restore import still_valid
+from yewhook.recovery.start_order import next_to_start
 
 
 @dataclass
@@ -84,7 +84,7 @@
         return Faulty(files=left, synced={name: len(data) for name, data in left.items()})
 
 
-KNOWLEDGE = Knowledge(
+KNOWLEDGE = LearnedState(
     servers={}, work={1: Estimate(0.5, 90.0)}, sessions=[("s1", Session(1.0, 1, 500.0, 95.0))],
     kept=[(1, "p", Estimate(1.0, 95.0))], seen=[("p", Estimate(2.0, 95.0))], waits={},
     pace={Role.READER: 1e-4}, paced=9, means=(500.0, 200.0, 700.0, 0.1), by_class=[(1.0, 500.0)],
@@ -100,7 +100,7 @@
     for data in Generations(files, "snapshot").read():
         try:
             yield unpack(data, "fleet")
-        except FormError:
+        except DecodeError:
             continue
 
 
@@ -111,7 +111,7 @@
 def test_at_every_cut_there_is_an_earlier_one_or_none_and_never_a_wrong_one() -> None:
     data = pack(snapshot())
     for cut in range(len(data)):
-        with pytest.raises(FormError):
+        with pytest.raises(DecodeError):
             unpack(data[:cut], "fleet")
 
 
@@ -148,11 +148,11 @@
 
 
 def test_another_fleets_and_another_versions_are_named_plainly() -> None:
-    with pytest.raises(FormError, match="other settings"):
+    with pytest.raises(DecodeError, match="other settings"):
         unpack(pack(snapshot()), "another")
-    with pytest.raises(FormError, match="of form 9"):
+    with pytest.raises(DecodeError, match="of form 9"):
         unpack(pack(snapshot()).replace(b"yewhook-snapshot 1 ", b"yewhook-snapshot 9 "), "fleet")
-    with pytest.raises(FormError, match="not a snapshot"):
+    with pytest.raises(DecodeError, match="not a snapshot"):
         unpack(b"yewhook-handover 1 0 00000000\n", "fleet")
 
 
@@ -166,18 +166,18 @@
 
 
 def test_after_this_routers_own_restart_texts_still_hold_and_after_the_fleets_they_do_not() -> None:
-    alone = recall(KNOWLEDGE, Scope.ALONE, 0.0, 100.0, 110.0)
+    alone = still_valid(KNOWLEDGE, Scope.ALONE, 0.0, 100.0, 110.0)
     assert [key for key, _ in alone.sessions] == ["s1"] and alone.kept and alone.pace
-    fleet = recall(KNOWLEDGE, Scope.FLEET, 0.0, 100.0, 110.0)
+    fleet = still_valid(KNOWLEDGE, Scope.FLEET, 0.0, 100.0, 110.0)
     assert not fleet.sessions and not fleet.kept and fleet.pace and fleet.seen
-    late = recall(KNOWLEDGE, Scope.ALONE, 0.0, 100.0, 200.0)
+    late = still_valid(KNOWLEDGE, Scope.ALONE, 0.0, 100.0, 200.0)
     assert not late.sessions and late.pace  # paces outlive what workers keep
-    unknown = recall(KNOWLEDGE, Scope.ALONE, 0.0, -math.inf, 110.0)
+    unknown = still_valid(KNOWLEDGE, Scope.ALONE, 0.0, -math.inf, 110.0)
     assert not unknown.pace and not unknown.quotas and not unknown.seen
 
 
 def test_times_are_moved_onto_the_clock_of_now() -> None:
-    moved = recall(KNOWLEDGE, Scope.ALONE, -92.0, 8.0, 12.0)
+    moved = still_valid(KNOWLEDGE, Scope.ALONE, -92.0, 8.0, 12.0)
     assert moved.sessions[0][1].at == 3.0 and moved.quotas == [(2.0, 7.0)]
 
 
@@ -186,47 +186,47 @@
 
 def test_a_wish_is_on_the_disk_before_it_is_obeyed_and_found_after_a_loss() -> None:
     files, said = Faulty(keeps=0.0), list[str]()
-    book = Book(files, lambda event, detail: said.append(event))
-    book.write("n1", Wish(drain=Drained("the night shift", 5.0)))
-    book.write("n2", Wish(runs=False))
-    after = Book(files.lose_power(), lambda event, detail: said.append(event))
-    assert after.wanted.revision == 2
-    assert after.wanted.of("n1").drain == Drained("the night shift", 5.0)
-    assert not after.wanted.of("n2").runs and after.wanted.of("n3") == Wish()
+    book = DesiredStateStore(files, lambda event, detail: said.append(event))
+    book.write("n1", DesiredInstance(drain=Drained("the night shift", 5.0)))
+    book.write("n2", DesiredInstance(runs=False))
+    after = DesiredStateStore(files.lose_power(), lambda event, detail: said.append(event))
+    assert after.state.revision == 2
+    assert after.state.instance("n1").drain == Drained("the night shift", 5.0)
+    assert not after.state.instance("n2").runs and after.state.instance("n3") == DesiredInstance()
     assert said == ["wanted state read"]
 
 
 @pytest.mark.parametrize("calls", range(12))
 def test_an_order_that_can_not_be_written_changes_nothing(calls: int) -> None:
     files = Faulty()
-    book = Book(files, lambda event, detail: None)
-    book.write("n1", Wish(runs=False))
+    book = DesiredStateStore(files, lambda event, detail: None)
+    book.write("n1", DesiredInstance(runs=False))
     files.calls_left = calls
     try:
-        book.write("n1", Wish())
+        book.write("n1", DesiredInstance())
     except OSError:
-        assert not book.wanted.of("n1").runs
+        assert not book.state.instance("n1").runs
     else:
-        assert book.wanted.of("n1").runs
-    again = Book(files.lose_power(), lambda event, detail: None)
-    assert again.wanted.revision in (1, 2)
+        assert book.state.instance("n1").runs
+    again = DesiredStateStore(files.lose_power(), lambda event, detail: None)
+    assert again.state.revision in (1, 2)
 
 
 def test_what_is_as_always_is_not_written_and_a_damaged_file_gives_way() -> None:
     files, said = Faulty(), list[str]()
-    book = Book(files, lambda event, detail: None)
-    book.write("n1", Wish())
+    book = DesiredStateStore(files, lambda event, detail: None)
+    book.write("n1", DesiredInstance())
     assert not files.files
-    book.write("n1", Wish(runs=False))
-    book.write("n1", Wish(runs=False, drain=Drained("a", 1.0)))
+    book.write("n1", DesiredInstance(runs=False))
+    book.write("n1", DesiredInstance(runs=False, drain=Drained("a", 1.0)))
     files.files["wanted"] = b"{"
-    assert Book(files, lambda event, detail: said.append(event)).wanted.revision == 1
+    assert DesiredStateStore(files, lambda event, detail: said.append(event)).state.revision == 1
     assert said == ["wanted state passed over", "wanted state read"]
 
 
 @given(st.integers(0, 9), st.integers(0, 9), st.integers(1, 5))
 def test_a_few_start_at_a_time(waiting: int, starting: int, at_a_time: int) -> None:
     names = [f"n{n}" for n in range(waiting)]
-    now = due(names, starting, at_a_time)
+    now = next_to_start(names, starting, at_a_time)
     assert len(now) + starting <= max(at_a_time, starting)
     assert list(now) == names[: len(now)] and (now or not names or starting >= at_a_time)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -47,7 +47,7 @@
         self.lines.append(f"{event}: {detail}")
 
 
-class Party:
+class FakePeer:
     """A client, a worker, a tool server or discovery: its newest connection and what came in on it."""
 
     def __init__(self, address: tuple[str, int] | None = None, keeps: bool = False) -> None:
@@ -120,11 +120,11 @@
                 sock.close()
 
 
-def _ended(party: Party) -> bool:
+def _ended(party: FakePeer) -> bool:
     return party.ended
 
 
-def _has(party: Party, text: str) -> bool:
+def _has(party: FakePeer, text: str) -> bool:
     return text in party.text
 
 
@@ -134,7 +134,7 @@
     def __init__(self, sayings: dict[str, Callable[..., bytes]]) -> None:
         self.clock, self.log = Clock(), KeptLog()
         self.service = Service(self.log, Loop(self.log, self.clock))
-        self.parties: dict[str, Party] = {}
+        self.parties: dict[str, FakePeer] = {}
         self.sayings = sayings
 
     def turn(self, seconds: float = 0.0005, longest: float = 0.0005) -> None:
@@ -167,7 +167,7 @@
                 continue
             party = self.parties.get(who)
             if party is None:  # a further client
-                party = self.parties[who] = Party(self.parties["client"].address)
+                party = self.parties[who] = FakePeer(self.parties["client"].address)
             if verb == "send":
                 name, *words = text.split()
                 party.send(self.sayings[name](**dict(word.split("=", 1) for word in words)))
@@ -183,7 +183,7 @@
         return self
 
     def sigterm(self) -> None:
-        self.service.hear(Event.TERM)
+        self.service.handle_event(Event.TERM)
 
     def end(self) -> None:
         for party in self.parties.values():
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -68,7 +68,7 @@
         return write_fleet(folder, self.count)
 
     def sigterm(self) -> None:
-        self.service.hear(Event.TERM)
+        self.service.handle_event(Event.TERM)
 
     def until(self, true: Callable[[], bool]) -> None:
         end = time.monotonic() + PATIENCE
@@ -91,7 +91,7 @@
 def running(tmp_path: Path) -> Iterator[Running]:
     run = Running(tmp_path)
     yield run
-    run.agent.break_off()
+    run.agent.end_all()
     run.agent.close()
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -120,12 +120,14 @@
 )  # fmt: skip
 def test_a_report_that_cannot_be_read_is_only_missing(text: str) -> None:
     # Depth and infinities were exceptions, or figures that spoilt every average they entered.
-    assert load_reports.load(load_reports.parse(text), ("avg_ms", "x0", "x1")) is None
-    assert load_reports.count(load_reports.parse(text)) == 0
+    assert load_reports.parse_load(load_reports.parse_json(text), ("avg_ms", "x0", "x1")) is None
+    assert load_reports.token_count(load_reports.parse_json(text)) == 0
 
 
 def test_a_report_is_found_under_either_name() -> None:
-    load = load_reports.load(load_reports.parse('{"latency_ms":500,"x0":0.5}'), ("avg_ms", "x0", "x1"))
+    load = load_reports.parse_load(
+        load_reports.parse_json('{"latency_ms":500,"x0":0.5}'), ("avg_ms", "x0", "x1")
+    )
     assert load == Load(service_time=0.5, memory_share=0.5)
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -456,7 +456,7 @@
     w = b.c.workers[11]
     for n in range(20):
         b.c._learn_wait(w, 2.0 if n % 4 == 0 else 0.05, b.now)
-    assert b.c.waits.by_role[Role.WRITER].faded(b.now, 6.0) < 0.4
+    assert b.c.waits.by_role[Role.WRITER].decayed(b.now, 6.0) < 0.4
 
 
 def test_a_small_tenant_at_one_of_many_routers_is_within_its_share():
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -233,9 +233,9 @@
     c.do(i.Send("a", READER, 1.0))
     given_up: list[tuple[str, int]] = []
     monkeypatch.setattr(c.client, "refuse", lambda retry_after: given_up.extend(c.workers.aborted))
-    c.router.break_off()
+    c.router.end_all()
     c.do()
-    assert given_up == [("a", 0)] and not c.router.lives
+    assert given_up == [("a", 0)] and not c.router.requests
 
 
 def test_exactly_one_final_answer(c: Core) -> None:
@@ -243,7 +243,7 @@
     c.do(i.Refuse("a"), i.Fail("a"), i.Refuse("a"))
     c.router.client_left("a")
     c.wait(20.0)
-    assert c.client.heard == ["refuse"] and not c.router.lives
+    assert c.client.heard == ["refuse"] and not c.router.requests
 
 
 def test_what_the_module_forgets_is_answered_at_the_deadline(c: Core) -> None:
@@ -279,7 +279,7 @@
     c.router.event("a", 0, "x")
     c.do(i.MoveStream("a"))
     assert c.client.heard[-1] == "break off MOVED" and c.workers.aborted == [("a", 0)]
-    assert c.outcomes() == [Out.CANCELED] and not c.router.lives
+    assert c.outcomes() == [Out.CANCELED] and not c.router.requests
 
 
 def test_a_state_that_nobody_takes_is_let_go_once_within_the_limit(c: Core) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 
 import pytest
-from scenario import Party
+from scenario import FakePeer
 from settings import ENV
 from test_platform import FLEET, SAYINGS, Platform, ask, chunk
 
@@ -57,7 +57,7 @@
     client.close(reset=reset)
     p.wait(0.2)
     assert "r2" not in p.parties["reader"].heard.replace("reservations/r2", "")
-    assert not p.front.router.lives and not p.front.router._module.requests
+    assert not p.front.router.requests and not p.front.router._module.requests
 
 
 def test_a_client_that_left_while_its_connection_waited_to_be_accepted_gets_no_attempt(p: Platform) -> None:
@@ -107,7 +107,7 @@
     streaming(p)
     p.sigterm()
     p.wait(1.8)
-    half, late = ask("r2"), Party(p.parties["client"].address)
+    half, late = ask("r2"), FakePeer(p.parties["client"].address)
     p.parties["late"] = late
     late.send(half[:-2])
     leaving(p)
@@ -197,7 +197,7 @@
     connection = next(iter(p.front.clients.connections))
     assert connection.channel.paused
     p.play("client send ask id=r2")
-    connection.hang_up()
+    connection.close_gracefully()
     p.wait(0.05)
     assert not connection.channel.unread and "POST" not in p.parties["reader"].heard
     p.play("client expect closed")
@@ -207,14 +207,14 @@
     # Its end had come in the moment in which the stream was cut.
     p = Platform(FLEET, env=NO_RESUME)
     streaming(p)
-    cut, sent = p.front.router.break_off, list[object]()
+    cut, sent = p.front.router.end_all, list[object]()
 
     def end_then_cut() -> None:
         if not sent:
             sent.append(p.play("writer send event text=two\nwriter send last"))
         cut()
 
-    p.front.router.break_off = end_then_cut  # type: ignore[method-assign]
+    p.front.router.end_all = end_then_cut  # type: ignore[method-assign]
     leaving(p)
     while not sent:
         p.play("writer send event text=on\nwait 0.1")
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 import pytest
-from scenario import Party
+from scenario import FakePeer
 from settings import ENV
 from test_platform import Platform, begin
 
@@ -20,7 +20,7 @@
 class Deaf:
     """A listener to which no connection comes up: its queue in the kernel is full, as if it were cut off."""
 
-    def __init__(self, party: Party) -> None:
+    def __init__(self, party: FakePeer) -> None:
         assert party.listener is not None
         self.party, self.listener, self.fillers = party, party.listener, list[socket.socket]()
         party.listener = None
@@ -59,7 +59,9 @@
         p.play(f"discovery send list name={name} state=draining generation={generation}")
         generation += 1
     p.play("wait 0.05\nclient send ask\nreader expect POST\nreader send read")
-    p.until(lambda: any(life.held.possible for life in p.front.router.lives.values()), "the read has ended")
+    p.until(
+        lambda: any(life.held.possible for life in p.front.router.requests.values()), "the read has ended"
+    )
     ended = p.clock.now
     p.wait(seconds)
     for name in WRITERS:
@@ -124,13 +126,13 @@
 def test_the_time_left_is_told_as_the_bytes_leave(p: Platform) -> None:
     # It was told as of the decision: up to a whole connect time more than the client had left.
     p.play("client send ask left=5000m")
-    while not any(life.out for life in p.front.router.lives.values()):
+    while not any(life.out for life in p.front.router.requests.values()):
         p.service.loop.run_turn(0.01)
     decided = p.clock.now
     p.clock.now += 0.2  # the connection takes so long to come up
     p.play("reader expect X-Remaining: ")
     remaining = int(p.parties["reader"].text.partition("u\r\n")[0]) / 1e6
-    life = next(iter(p.front.router.lives.values()))
+    life = next(iter(p.front.router.requests.values()))
     assert life.out is not None and life.out.timer is not None
     assert remaining <= life.out.timer.at - decided - 0.2 + 0.001
 
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -14,7 +14,7 @@
 
 
 def only_life_deadline(p: Platform) -> float:
-    (life,) = p.front.router.lives.values()
+    (life,) = p.front.router.requests.values()
     return life.deadline
 
 
@@ -79,14 +79,14 @@
 
     def leaving(now: float, events: list) -> list:  # type: ignore[type-arg]
         acts = handle(now, events)
-        if router.lives and p.parties["client"].sock is not None:
+        if router.requests and p.parties["client"].sock is not None:
             p.parties["client"].close()
         return acts
 
     router._module.handle = leaving  # type: ignore[method-assign]
     p.play("client send ask id=r2\nwait 0.3")
     assert "POST" not in p.parties["reader"].heard
-    assert not router.lives
+    assert not router.requests
 
 
 @pytest.fixture
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -12,26 +12,26 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hopshed.handover import give, take
+from hopshed.handover import import_state, split_state
 from hopshed.interface import ListKind, Outcome, Role, ServersListed
 from hopshed.state import Session
 from yewhook.operations import handover_encoding
-from yewhook.operations.handover_encoding import FormError, HandOver, pack, unpack
+from yewhook.operations.handover_encoding import DecodeError, HandOver, pack, unpack
 from yewhook.operations.instance import Event
-from yewhook.operations.process_files import Line
-from yewhook.operations.process_neighbours import HUNG, Neighbours, Sight
+from yewhook.operations.process_files import ProcessFiles
+from yewhook.operations.process_neighbours import HUNG, Neighbours, NeighbourStatus
 
 
-def after(line: Line) -> None:
+def after(line: ProcessFiles) -> None:
     """As a process's end lets its lock go."""
     os.close(line._lock)
 
 
 def test_each_process_sees_its_living_neighbours(tmp_path: Path) -> None:
-    one, two = Line(tmp_path / "line"), Line(tmp_path / "line")
+    one, two = ProcessFiles(tmp_path / "line"), ProcessFiles(tmp_path / "line")
     assert (one.predecessor(), one.successors()) == (None, [two.number])
     assert (two.predecessor(), two.successors()) == (one.number, [])
-    three = Line(tmp_path / "line")
+    three = ProcessFiles(tmp_path / "line")
     assert three.predecessor() == two.number and one.successors() == [two.number, three.number]
     after(two)
     assert three.predecessor() == one.number and one.successors() == [three.number]
@@ -40,17 +40,17 @@
 
 
 def test_what_dead_processes_left_is_cleared(tmp_path: Path) -> None:
-    one = Line(tmp_path / "line")
+    one = ProcessFiles(tmp_path / "line")
     one.mark_ready()
     one.hand(one.number, b"x")
     after(one)
     (tmp_path / "line" / "17.process").write_bytes(b"")  # nobody's lock is on it
-    two = Line(tmp_path / "line")
+    two = ProcessFiles(tmp_path / "line")
     assert two.number == 18 and {p.name for p in (tmp_path / "line").iterdir()} == {"18.process"}
 
 
 def test_a_mark_is_as_old_as_its_renewal(tmp_path: Path) -> None:
-    line = Line(tmp_path / "line")
+    line = ProcessFiles(tmp_path / "line")
     assert line.ready_age(line.number) is None
     line.mark_ready()
     age = line.ready_age(line.number)
@@ -61,7 +61,7 @@
 
 
 def test_a_hand_over_is_taken_once_and_its_room_given_back(tmp_path: Path) -> None:
-    one, two = Line(tmp_path / "line"), Line(tmp_path / "line")
+    one, two = ProcessFiles(tmp_path / "line"), ProcessFiles(tmp_path / "line")
     assert two.handed() is None
     one.hand(two.number, b"all")
     assert two.handed() == b"all" and two.handed() is None
@@ -69,7 +69,7 @@
 
 
 def test_a_hand_over_without_room_leaves_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    one, two = Line(tmp_path / "line"), Line(tmp_path / "line")
+    one, two = ProcessFiles(tmp_path / "line"), ProcessFiles(tmp_path / "line")
 
     def full(path: Path, data: bytes) -> int:
         path.touch()
@@ -84,16 +84,19 @@
 def test_neighbours_are_heard_of_once_at_each_change() -> None:
     one = Neighbours(had_predecessor=True)
     for sight, heard in (
-        (Sight(1, None, None), []),
-        (Sight(1, 3, None), []),
-        (Sight(None, 3, 0.1), [Event.PREDECESSOR_LOST, Event.SUCCESSOR_READY]),
-        (Sight(None, 3, 0.3), []),
-        (Sight(None, 3, HUNG), [Event.SUCCESSOR_LOST]),  # it hangs: its lock is there, its mark stands still
-        (Sight(None, 3, 0.0), [Event.SUCCESSOR_READY]),
-        (Sight(None, None, None), [Event.SUCCESSOR_LOST]),
+        (NeighbourStatus(1, None, None), []),
+        (NeighbourStatus(1, 3, None), []),
+        (NeighbourStatus(None, 3, 0.1), [Event.PREDECESSOR_LOST, Event.SUCCESSOR_READY]),
+        (NeighbourStatus(None, 3, 0.3), []),
+        (
+            NeighbourStatus(None, 3, HUNG),
+            [Event.SUCCESSOR_LOST],
+        ),  # it hangs: its lock is there, its mark stands still
+        (NeighbourStatus(None, 3, 0.0), [Event.SUCCESSOR_READY]),
+        (NeighbourStatus(None, None, None), [Event.SUCCESSOR_LOST]),
     ):
         assert one.see(sight) == heard
-    assert [one.to_hand(Sight(None, n, None)) for n in (None, 3, 3, 4)] == [None, 3, None, 4]
+    assert [one.to_hand(NeighbourStatus(None, n, None)) for n in (None, 3, 3, 4)] == [None, 3, None, 4]
 
 
 def worked() -> Bench:
@@ -108,16 +111,16 @@
 
 
 def handed(b: Bench) -> HandOver:
-    listed = handover_encoding.listed((w.info, ("127.0.0.1", 1000 + n)) for n, w in b.c.workers.items())
-    return HandOver(b.now, True, 7, listed, {2: 99.0}, take(b.c))
+    listed = handover_encoding.to_listed((w.info, ("127.0.0.1", 1000 + n)) for n, w in b.c.workers.items())
+    return HandOver(b.now, True, 7, listed, {2: 99.0}, split_state(b.c))
 
 
 def test_a_successor_goes_on_from_what_was_learnt() -> None:
     old = worked()
     got = unpack(pack(handed(old)), old.now)
     assert (got.drained, got.generation, got.told_off) == (True, 7, {2: 99.0})
-    new = Bench(fleet=[info for info, _ in handover_encoding.servers(got.servers)], tenants=())
-    give(new.c, got.module, old.now)
+    new = Bench(fleet=[info for info, _ in handover_encoding.from_listed(got.servers)], tenants=())
+    import_state(new.c, got.module, old.now)
     assert new.c.sessions == {"s": Session(1.5, old.c.sessions["s"].reader, 1000.0, old.c.sessions["s"].at)}
     assert new.c.prefix_cache.uses.keys() == old.c.prefix_cache.uses.keys()
     assert new.c.paces.of[Role.READER] == old.c.paces.of[Role.READER] > 0
@@ -132,16 +135,16 @@
 def test_servers_that_the_new_list_does_not_name_are_passed_over() -> None:
     old = worked()
     new = Bench(fleet=[server(1, 0), server(12, 1)], tenants=())
-    give(new.c, take(old.c), old.now)
+    import_state(new.c, split_state(old.c), old.now)
     new.do(ServersListed(ListKind.CHANGES, (server(2, 0),)))
     assert set(new.c.workers) == {1, 2, 12} and new.c.workers[2].errors == 0.0
 
 
 def test_knowledge_for_other_settings_is_passed_over_whole() -> None:
-    known = take(worked().c)
+    known = split_state(worked().c)
     new = Bench(tenants=())
     with pytest.raises(ValueError, match="other classes"):
-        give(new.c, replace(known, by_class=[*known.by_class, (0.0, 0.0)]), 100.0)
+        import_state(new.c, replace(known, by_class=[*known.by_class, (0.0, 0.0)]), 100.0)
     assert not new.c.sessions
 
 
@@ -152,7 +155,7 @@
     at = data.draw(st.integers(0, len(whole) - 1))
     cut, flip = data.draw(st.booleans()), data.draw(st.integers(1, 255))
     damaged = whole[:at] if cut else whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :]
-    with pytest.raises(FormError):
+    with pytest.raises(DecodeError):
         unpack(damaged, 1e9)
 
 
@@ -165,10 +168,10 @@
     ],
 )
 def test_a_foreign_or_other_form_is_named(data: bytes, why: str) -> None:
-    with pytest.raises(FormError, match=why):
+    with pytest.raises(DecodeError, match=why):
         unpack(data, 1e9)
 
 
 def test_a_hand_over_from_another_clock_is_passed_over() -> None:
-    with pytest.raises(FormError, match="another clock"):
+    with pytest.raises(DecodeError, match="another clock"):
         unpack(pack(handed(worked())), 1.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,9 +9,9 @@
 from test_platform import Platform, ask
 
 from yewhook.config import Limits
-from yewhook.connection_limiter import Stand, Standing, give_way
+from yewhook.connection_limiter import ConnectionActivity, ConnectionStatus, connections_to_close
 from yewhook.loop import Timer
-from yewhook.service import Room
+from yewhook.service import ResourceBudget
 
 
 @pytest.mark.parametrize(
@@ -109,9 +109,9 @@
 
 def test_limits_come_from_the_configuration(p: Platform) -> None:
     # With 256 descriptors, clients could take so many that nothing was left for their own requests.
-    room = Room(p.service.loop, Limits(256, 32 << 20))
+    room = ResourceBudget(p.service.loop, Limits(256, 32 << 20))
     p.service.loop.sockets = p.service.loop.accepted = 150
-    assert room.for_clients() and room.for_bodies == 4 << 20
+    assert room.for_clients() and room.body_bytes == 4 << 20
     p.service.loop.sockets = p.service.loop.accepted = 160
     assert not room.for_clients() and room.for_workers()
     p.service.loop.sockets = 240
@@ -119,11 +119,13 @@
 
 
 def sizes(p: Platform) -> list[int]:
-    module, router, registry = p.front.router._module, p.front.router, p.front.registry
+    module, router, worker_list = p.front.router._module, p.front.router, p.front.worker_list
     tables: list[Sized] = [
         module.workers, module.requests, module.prefix_cache.uses, module.popularity.seen, module.sessions,
-        router.lives, router.servers, router.table.told_off, registry.addresses, registry.states,
-        p.front.pool._idle, p.front.workers._out, p.front.clients.connections, p.service.loop.deadlines._due,
+        router.requests, router.servers, router.table.withdrawn_since,
+        worker_list.addresses, worker_list.states, p.front.pool._idle, p.front.workers._out,
+        p.front.clients.connections,
+        p.service.loop.deadlines._due,
     ]  # fmt: skip
     return [len(table) for table in tables]
 
@@ -173,10 +175,16 @@
 
 def test_connections_give_way_in_the_order_of_what_they_lose() -> None:
     standings = [
-        (Standing(Stand.BUSY, 0.0), "busy"), (Standing(Stand.HALF, 1.0), "half"),
-        (Standing(Stand.HALF, 9.5), "writing"), (Standing(Stand.SILENT, 9.0), "silent"),
-        (Standing(Stand.SILENT, 9.9), "new"), (Standing(Stand.ANSWERED, 9.6), "younger"),
-        (Standing(Stand.ANSWERED, 9.5), "answered"), (Standing(Stand.ANSWERED, 9.97), "just now"),
-    ]  # fmt: skip
-    assert give_way(standings, 10.0, 9) == ["answered", "younger", "silent", "half"]
-    assert give_way(standings, 10.0, 1) == ["answered"] and give_way([], 10.0, 9) == []
+        (ConnectionStatus(ConnectionActivity.SERVING, 0.0), "busy"),
+        (ConnectionStatus(ConnectionActivity.READING_REQUEST, 1.0), "half"),
+        (ConnectionStatus(ConnectionActivity.READING_REQUEST, 9.5), "writing"),
+        (ConnectionStatus(ConnectionActivity.NOTHING_RECEIVED, 9.0), "silent"),
+        (ConnectionStatus(ConnectionActivity.NOTHING_RECEIVED, 9.9), "new"),
+        (ConnectionStatus(ConnectionActivity.ANSWERED, 9.6), "younger"),
+        (ConnectionStatus(ConnectionActivity.ANSWERED, 9.5), "answered"),
+        (ConnectionStatus(ConnectionActivity.ANSWERED, 9.97), "just now"),
+    ]
+    assert connections_to_close(standings, 10.0, 9) == ["answered", "younger", "silent", "half"]
+    assert (
+        connections_to_close(standings, 10.0, 1) == ["answered"] and connections_to_close([], 10.0, 9) == []
+    )
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -8,11 +8,11 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from scenario import Party
+from scenario import FakePeer
 from test_platform import FLEET, SAYINGS, Platform, begin
 
-from yewhook.operations.instance import POSTURES, TABLE, Event, Instance, State, step
-from yewhook.operations.management_endpoint import CALLERS_MOST, Door
+from yewhook.operations.instance import FRONT_MODES, TABLE, Event, Instance, State, step
+from yewhook.operations.management_endpoint import MAX_CONNECTIONS, ManagementEndpoint
 
 
 class Door_(Platform):
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         super().__init__(FLEET)
-        self.door = Door(self.service, ("127.0.0.1", 0))
+        self.door = ManagementEndpoint(self.service, ("127.0.0.1", 0))
         self.sayings = self.sayings | {
             "call": lambda path, method="GET": f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(),
             "half": lambda: b"POST /-/drain HTTP/1.1\r\nHo",
@@ -32,7 +32,7 @@
 
     def call(self, path: str, method: str = "GET", status: str = "200 OK") -> None:
         name = f"operator{len(self.parties)}"
-        self.parties[name] = Party(("127.0.0.1", self.door.port))
+        self.parties[name] = FakePeer(("127.0.0.1", self.door.port))
         self.play(f"{name} send call path={path} method={method}\n{name} expect HTTP/1.1 {status}")
         self.play(f"{name} expect closed")
 
@@ -107,19 +107,19 @@
     ],
 )
 def test_a_wrong_call_is_never_a_yes(d: Door_, saying: str, status: str) -> None:
-    d.parties["operator"] = Party(("127.0.0.1", d.door.port))
+    d.parties["operator"] = FakePeer(("127.0.0.1", d.door.port))
     d.play(f"operator send {saying}\noperator expect HTTP/1.1 {status}\noperator expect closed")
     assert d.service.instance == Instance(State.READY)
 
 
 def test_callers_with_half_a_call_keep_nobody_out(d: Door_) -> None:
-    for n in range(2 * CALLERS_MOST + 5):
-        d.parties[f"half{n}"] = Party(("127.0.0.1", d.door.port))
+    for n in range(2 * MAX_CONNECTIONS + 5):
+        d.parties[f"half{n}"] = FakePeer(("127.0.0.1", d.door.port))
         d.play(f"half{n} send half")
     d.call("/-/ready")
-    open_now = sum(not d.parties[f"half{n}"].ended for n in range(2 * CALLERS_MOST + 5))
-    assert 0 < open_now <= CALLERS_MOST
-    last = f"half{2 * CALLERS_MOST + 4}"
+    open_now = sum(not d.parties[f"half{n}"].ended for n in range(2 * MAX_CONNECTIONS + 5))
+    assert 0 < open_now <= MAX_CONNECTIONS
+    last = f"half{2 * MAX_CONNECTIONS + 4}"
     d.play(f"wait 5.1\n{last} expect HTTP/1.1 408\n{last} expect closed")
 
 
@@ -134,7 +134,7 @@
         accept(mask)
 
     d.service.loop.watch(d.door._listener, 1, heard, first=True)
-    d.parties["operator"] = Party(("127.0.0.1", d.door.port))
+    d.parties["operator"] = FakePeer(("127.0.0.1", d.door.port))
     for name in ("client", "operator"):
         d.parties[name].send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
     d.until(lambda: len(order) == 2, "both are heard")
@@ -143,7 +143,7 @@
 
 def test_the_table_names_every_state_and_event() -> None:
     assert TABLE.keys() == {(state, event) for state in State for event in Event}
-    assert POSTURES.keys() == set(State)
+    assert FRONT_MODES.keys() == set(State)
 
 
 class Model(RuleBasedStateMachine):
@@ -180,18 +180,18 @@
     @invariant()
     def it_is_as_told(self) -> None:
         able, drained, succeeded, ended = self.told()
-        posture = self.instance.posture
+        mode = self.instance.front_mode
         if ended:
             assert self.instance.state in (State.LASTING, State.ENDING, State.LEAVING)
         elif succeeded:
-            assert self.instance.state is State.HANDING_OVER and not posture.accepting
+            assert self.instance.state is State.HANDING_OVER and not mode.accepting
         elif not able:
             assert self.instance.state is State.STARTING
         else:
-            assert posture.accepting and posture.healthy is not drained and posture.keeping is not drained
+            assert mode.accepting and mode.healthy is not drained and mode.keep_alive is not drained
         assert self.instance.drained is drained
-        assert posture.healthy <= (able or succeeded)
-        assert posture.closing <= (not posture.keeping)
+        assert mode.healthy <= (able or succeeded)
+        assert mode.close_idle <= (not mode.keep_alive)
 
 
 TestInstance = Model.TestCase
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -17,7 +17,7 @@
 from typer.testing import CliRunner
 
 from yewhook.cli import app
-from yewhook.operations.orders import Order, Orders, Refused
+from yewhook.operations.orders import Order, OrderRefused, Orders
 
 
 class OneRouter(Running):
@@ -61,7 +61,7 @@
 def router(tmp_path: Path) -> Iterator[OneRouter]:
     run = OneRouter(tmp_path)
     yield run
-    run.agent.break_off()
+    run.agent.end_all()
     run.agent.close()
 
 
@@ -137,7 +137,7 @@
 def test_orders_that_can_not_be_carried_out_are_refused(running_toolcalls: Running) -> None:
     run = running_toolcalls
     run.until(lambda: run.states() == ["ready"])
-    with pytest.raises(Refused, match="tool-calls front"):
+    with pytest.raises(OrderRefused, match="tool-calls front"):
         run.agent.instances["n0"].order(Order.UPGRADE, "x", lambda why_not: None)
 
 
@@ -145,18 +145,18 @@
 def running_toolcalls(tmp_path: Path) -> Iterator[Running]:
     run = Running(tmp_path, count=1)
     yield run
-    run.agent.break_off()
+    run.agent.end_all()
     run.agent.close()
 
 
 def test_orders_hold_until_they_are_taken_back() -> None:
-    orders = Orders().take(Order.DRAIN, "a", 1.0)
-    assert orders.take(Order.DRAIN, "b", 2.0) == orders and orders.drain is not None
-    upgrading = orders.take(Order.UPGRADE, "c", 3.0)
+    orders = Orders().with_order(Order.DRAIN, "a", 1.0)
+    assert orders.with_order(Order.DRAIN, "b", 2.0) == orders and orders.drain is not None
+    upgrading = orders.with_order(Order.UPGRADE, "c", 3.0)
     for order in Order:
-        with pytest.raises(Refused, match="by c is under way, since 4 s"):
-            upgrading.take(order, "d", 7.0)
-    assert upgrading.over() == orders and orders.take(Order.RESUME, "e", 9.0) == Orders()
+        with pytest.raises(OrderRefused, match="by c is under way, since 4 s"):
+            upgrading.with_order(order, "d", 7.0)
+    assert upgrading.without_upgrade() == orders and orders.with_order(Order.RESUME, "e", 9.0) == Orders()
 
 
 class Lasting(OneRouter):
@@ -201,7 +201,7 @@
     failed = run.command("drain", "n1")
     assert failed.exit_code == 1 and "written down" in failed.output
     assert run.states() == ["ready"] and run.health() == 200
-    run.agent.break_off()
+    run.agent.end_all()
     run.agent.close()
 
 
@@ -217,7 +217,7 @@
     assert run.states() == ["starting", "due"]
     run.until(lambda: run.states()[0] == "ready")
     run.until(lambda: run.states() == ["ready", "ready"])
-    run.agent.break_off()
+    run.agent.end_all()
     run.agent.close()
 
 
@@ -234,5 +234,5 @@
     assert shown.exit_code == 0 and "n1\tready\tnothing known for" in shown.output
     assert "waits for a list with a reader and a writer" in shown.output
     run.until(lambda: (tmp_path / "kept" / "snapshot").exists())
-    run.agent.break_off()
+    run.agent.end_all()
     run.agent.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 import pytest
-from scenario import Party, Play
+from scenario import FakePeer, Play
 from settings import ENV
 
 from yewhook.config import Config, ConfigError, Limits, translate
 from yewhook.platform.front import FIRST_WORD, PlatformFront
 from yewhook.platform.http import EventSplitter
-from yewhook.service import Room
+from yewhook.service import ResourceBudget
 
 FLEET = {"reader": "prefill", "writer": "decode"}
 BODY = '{"stream":true}'
@@ -77,19 +77,19 @@
         super().__init__(SAYINGS | {"list": self.listed})
         settings, names = translate(ENV | {"instances": routers} | (env or {}))
         self.fleet = dict(fleet)  # a test may add to it
-        self.parties = {name: Party() for name in fleet} | {"discovery": Party(keeps=True)}
+        self.parties = {name: FakePeer() for name in fleet} | {"discovery": FakePeer(keeps=True)}
         self.config = config = Config(
             "test", ("127.0.0.1", 0), self.parties["discovery"].address, 7, settings, names,
             Limits(1024), 0.25, 30.0,
             {"generation": 1, "reset": True, "instances": [self.entry(name) for name in fleet]},
         )  # fmt: skip
-        room = Room(self.service.loop, config.limits)
+        room = ResourceBudget(self.service.loop, config.limits)
         self.front = PlatformFront(self.service.loop, config, room, lambda: self.config)
         self.service.fronts.append(self.front)
         self.service.begin()
         if heard:
             self.wait(FIRST_WORD + 0.05)
-        self.parties["client"] = Party(("127.0.0.1", self.front.port))
+        self.parties["client"] = FakePeer(("127.0.0.1", self.front.port))
 
     def entry(self, name: str, state: str = "up") -> dict[str, object]:
         place = self.parties[name].place
@@ -126,7 +126,7 @@
     assert "Pressure" not in p.parties["client"].text
     loads = [w.load for w in p.front.router._module.workers.values()]
     assert 0.5 in [load.memory_share for load in loads if load is not None]
-    assert not p.front.router.lives
+    assert not p.front.router.requests
 
 
 def test_fields_of_a_request_go_on_to_the_worker_but_those_of_one_connection(p: Platform) -> None:
@@ -265,7 +265,7 @@
 def test_a_client_that_leaves_during_the_stream_ends_the_attempt(p: Platform) -> None:
     p.play(begin() + "writer send stream\nwriter send event text=a\nclient expect a")
     p.play("client close\nwriter expect closed")
-    assert not p.front.router.lives
+    assert not p.front.router.requests
 
 
 def test_a_release_goes_to_the_next_worker_when_one_is_silent(p: Platform) -> None:
@@ -381,7 +381,7 @@
                 with contextlib.suppress(OSError):
                     sock.send(SAYINGS["event"](text="b"))
         p.wait(0.1)
-        left.append(len(p.front.router.lives))
+        left.append(len(p.front.router.requests))
     assert left[20] == 6 and left[-1] == 0
     assert max(before - after for before, after in pairwise(left)) <= 2
 
@@ -425,7 +425,7 @@
 
 def test_a_worker_that_moves_is_found_at_its_new_address(p: Platform) -> None:
     p.play(begin("id=r1") + "writer send status status=500\nclient expect 503")
-    p.parties["moved"] = Party()
+    p.parties["moved"] = FakePeer()
     p.fleet["moved"] = "prefill"
     entry = p.entry("moved") | {"instanceId": "s-reader"}
     p.play("discovery expect GET\ndiscovery send watch")
@@ -462,7 +462,7 @@
     # connections were kept for 2 s however short room was, then for 1 s more until the client closed.
     p.play(begin("id=r1") + "writer send stream\nwriter send event text=a\nclient expect a")
     p.play("once send get path=/healthz\nonce expect 200 OK\nmute send get path=/\nmute expect 404")
-    p.parties["half"] = Party(p.parties["client"].address)
+    p.parties["half"] = FakePeer(p.parties["client"].address)
     p.parties["half"].send(b"POST /v1/chat/completions HTTP/1.1\r\nX-Txn: a")
     p.wait(0.1)
     p.service.loop.accepted += 1024
@@ -536,7 +536,7 @@
 def test_a_new_discovery_is_watched_and_the_old_list_serves_meanwhile(p: Platform) -> None:
     # The watch stayed with the old address, which goes silent soon after the file names another one.
     p.play("discovery expect GET /v1/servers?watch=1&after=1\ndiscovery send watch\nwait 0.1")
-    p.parties["other"] = Party()
+    p.parties["other"] = FakePeer()
     p.config = replace(p.config, discovery=p.parties["other"].address)
     p.service.reload()
     assert any("reloaded: discovery is now at" in line for line in p.log.lines)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -87,7 +87,7 @@
             if outcome is Outcome.READ:
                 self.held[rid] = self.b.now
         elif not outcome.never_ran:
-            self.may_run[rid] = self.b.c.s.classes[0].effect is Effect.UNSAFE
+            self.may_run[rid] = self.b.c.settings.classes[0].effect is Effect.UNSAFE
         closed = outcome is Outcome.OK or rid not in self.open
         if outcome is Outcome.OK:
             self.open.discard(rid)
@@ -173,7 +173,7 @@
 
 class Twice(Controller):
     def _close(self, req):
-        self.acts.append(Refuse(req.ev.id))
+        self.actions.append(Refuse(req.ev.id))
         super()._close(req)
 
 
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -12,7 +12,7 @@
 from hopshed.interface import FORGET_AFTER, Effect, ListKind, RequestArrived, Server, ServerState
 from yewhook.core.ending import Ending
 from yewhook.core.held_state import HeldState
-from yewhook.core.request_records import Attempt, Life, Stage
+from yewhook.core.request_records import Attempt, RequestRecord, Stage
 from yewhook.core.send_rules import (
     MIN_CONNECT_TIME,
     Withheld,
@@ -21,16 +21,18 @@
     refusal_is_harmless,
     withheld,
 )
-from yewhook.core.server_table import ServerTable, Standing
+from yewhook.core.server_table import ServerStatus, ServerTable
 
 SETTINGS = wire.settings(ENV)
-RUNNING = Standing(True, 0.0)
+RUNNING = ServerStatus(True, 0.0)
 
 
-def life(effect: Effect = Effect.SAFE, *endings: Ending | None, reads: bool = False) -> Life:
+def life(effect: Effect = Effect.SAFE, *endings: Ending | None, reads: bool = False) -> RequestRecord:
     """A request of which attempts have ended so, one a second; None = it may still run."""
     cls = 1 if effect is Effect.UNSAFE else 0
-    made = Life(RequestArrived("a", cls, 0, "s", 8.0, 100.0), effect, Client(), None, 108.0, HeldState(1.0))
+    made = RequestRecord(
+        RequestArrived("a", cls, 0, "s", 8.0, 100.0), effect, Client(), None, 108.0, HeldState(1.0)
+    )
     made.stage = Stage.DECIDING
     made.attempts = [Attempt(n, 1, reads, 100.0 + n, False, ending) for n, ending in enumerate(endings)]
     return made
@@ -54,10 +56,10 @@
 
 def test_time_servers_and_attempts_bound_what_is_sent() -> None:
     assert withheld(life(), RUNNING, SETTINGS, 108.0) is Withheld.DEADLINE_PASSED
-    assert withheld(life(), Standing(False, 0.0), SETTINGS, 100.0) is Withheld.UNKNOWN_SERVER
+    assert withheld(life(), ServerStatus(False, 0.0), SETTINGS, 100.0) is Withheld.UNKNOWN_SERVER
     grace = SETTINGS.drain_grace
-    assert withheld(life(), Standing(True, grace), SETTINGS, 100.0) is None
-    assert withheld(life(), Standing(True, grace + 0.01), SETTINGS, 100.0) is Withheld.SERVER_DRAINS
+    assert withheld(life(), ServerStatus(True, grace), SETTINGS, 100.0) is None
+    assert withheld(life(), ServerStatus(True, grace + 0.01), SETTINGS, 100.0) is Withheld.SERVER_DRAINS
     tries = [Ending.TURNED_AWAY] * SETTINGS.max_attempts
     assert withheld(life(Effect.SAFE, *tries), RUNNING, SETTINGS, 101.0) is Withheld.NO_ATTEMPTS_LEFT
 
@@ -97,19 +99,19 @@
     table = ServerTable()
     table.update(ListKind.FULL, (server(1), server(2)), 10.0)
     changes = table.update(ListKind.FULL, (server(1),), 11.0)
-    assert (changes.told_off, changes.gone) == (frozenset({2}), (2,))
-    assert table.standing(2, 12.5) == Standing(True, 1.5) and table.standing(1, 12.5) == RUNNING
+    assert (changes.withdrawn, changes.gone) == (frozenset({2}), (2,))
+    assert table.status(2, 12.5) == ServerStatus(True, 1.5) and table.status(1, 12.5) == RUNNING
     assert [one.id for one in table.present()] == [1]
     assert not table.forget(2, 11.0) and not table.forget(1, 99.0)
-    assert table.forget(2, 11.0 + FORGET_AFTER) and not table.standing(2, 50.0).known
+    assert table.forget(2, 11.0 + FORGET_AFTER) and not table.status(2, 50.0).known
 
 
 def test_a_server_that_comes_back_is_told_off_from_its_next_drain_on() -> None:
     table = ServerTable()
     table.update(ListKind.CHANGES, (server(1, ServerState.DRAINING),), 10.0)
-    assert not table.update(ListKind.CHANGES, (server(1, ServerState.DRAINING),), 11.0).told_off
+    assert not table.update(ListKind.CHANGES, (server(1, ServerState.DRAINING),), 11.0).withdrawn
     table.update(ListKind.CHANGES, (server(1),), 12.0)
-    assert table.update(ListKind.CHANGES, (server(1, ServerState.DRAINING),), 13.0).told_off == {1}
-    assert table.standing(1, 13.5).told_off_for == 0.5
+    assert table.update(ListKind.CHANGES, (server(1, ServerState.DRAINING),), 13.0).withdrawn == {1}
+    assert table.status(1, 13.5).withdrawn_for == 0.5
     table.resume({1: 9.0, 2: 9.0})
-    assert table.told_off == {1: 9.0}
+    assert table.withdrawn_since == {1: 9.0}
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -6,7 +6,7 @@
 
 from yewhook.log import Log
 from yewhook.loop import Loop
-from yewhook.operations.instance import Event, Posture
+from yewhook.operations.instance import Event, FrontMode
 from yewhook.service import Service
 
 
@@ -14,7 +14,7 @@
     """Stands in for a front that is busy for as long as the test says."""
 
     grace = 3.0
-    lasts = 0.0
+    accept_after_term = 0.0
 
     def __init__(self) -> None:
         self.busy = True
@@ -23,15 +23,15 @@
     def reload(self) -> Callable[[], str]:
         raise AssertionError("nobody reloads here")
 
-    able = True
+    has_workers = True
 
-    def take(self, posture: Posture) -> None:
+    def set_mode(self, mode: FrontMode) -> None:
         """Nothing is accepted."""
 
-    def thin_out(self, part: float) -> None:
+    def move_streams(self, part: float) -> None:
         """There are no streams."""
 
-    def break_off(self) -> None:
+    def end_all(self) -> None:
         """There is nothing to break off."""
 
     def close(self) -> None:
@@ -46,7 +46,7 @@
     service = Service(loop.log, loop)
     service.fronts.append(front)
     service.begin()
-    service.hear(Event.TERM)
+    service.handle_event(Event.TERM)
     while now[0] < 103.3:  # the last moment comes, and its end 0.2 s later
         now[0] += 0.01
         loop.run_turn(0.0)
--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 import pytest
-from scenario import Party, Play
+from scenario import FakePeer, Play
 from settings import ENV
 
 from yewhook.config import Limits
 from yewhook.dnssd import ServiceInstance, master_file
-from yewhook.service import Room
+from yewhook.service import ResourceBudget
 from yewhook.toolcalls.config import read
 from yewhook.toolcalls.front import ToolCallsFront
 
@@ -57,7 +57,7 @@
 class ToolCalls(Play):
     def __init__(self, folder: Path) -> None:
         super().__init__(SAYINGS)
-        self.parties = {name: Party() for name in ("reader", "writer", "tool")}
+        self.parties = {name: FakePeer() for name in ("reader", "writer", "tool")}
         (folder / "settings.json").write_text(json.dumps(ENV))
         self.records = folder / "fleet.zone"
         self.publish("reader", "writer", "tool")
@@ -67,11 +67,11 @@
             "tool_deadline_s = 2\nworker_silence_s = 5\n"
         )
         config = read(folder / "toolcalls.toml")
-        room, path = Room(self.service.loop, LIMITS), folder / "toolcalls.toml"
+        room, path = ResourceBudget(self.service.loop, LIMITS), folder / "toolcalls.toml"
         self.front = ToolCallsFront(self.service.loop, config, room, 7, lambda: read(path))
         self.service.fronts.append(self.front)
         self.service.begin()
-        self.parties["client"] = Party(("127.0.0.1", self.front.port))
+        self.parties["client"] = FakePeer(("127.0.0.1", self.front.port))
 
     def publish(self, *names: str) -> None:
         kinds = {"reader": "prefill", "writer": "decode"}
@@ -95,7 +95,7 @@
 
 def ran_once(t: ToolCalls) -> bool:
     """One attempt at the writer, and no more than one final answer for the client's request."""
-    return t.parties["writer"].heard.count("chat/completions") == 1 and not t.front.router.lives
+    return t.parties["writer"].heard.count("chat/completions") == 1 and not t.front.router.requests
 
 
 BEGIN = """
@@ -129,7 +129,7 @@
         client expect {"jsonrpc":"2.0","id":1,"result":{"status":"served"}}
     """
     )
-    assert not t.front.router.lives
+    assert not t.front.router.requests
     # A second request uses the same connections: each exchange leaves them clean.
     t.play("client send ask id=2\nreader expect chat\nreader send read id=2\nwriter expect chat")
     t.play('writer send event text=x\nwriter send served id=2\nclient expect "id":2,"result"')
@@ -176,14 +176,14 @@
 
 
 def test_a_tool_server_that_cannot_be_reached_is_passed_over(t: ToolCalls) -> None:
-    t.parties["tool2"] = Party()
+    t.parties["tool2"] = FakePeer()
     t.publish("reader", "writer", "tool", "tool2")
     t.play("tool close listening\nwait 0.6\n" + BEGIN + "writer send call\ntool2 expect tools/call")
     t.play("tool2 send found\nwriter expect replaced")
 
 
 def test_a_tool_call_that_may_have_run_is_not_made_again(t: ToolCalls) -> None:
-    t.parties["tool2"] = Party()
+    t.parties["tool2"] = FakePeer()
     t.publish("reader", "writer", "tool", "tool2")
     t.play("wait 0.6\n" + CALLED + 'tool reset\nwriter expect "code":-32004')
     assert t.parties["tool2"].connections == 0
@@ -225,7 +225,7 @@
         wait 1
     """
     )
-    assert not t.front.router.lives and t.parties["writer"].connections == 1
+    assert not t.front.router.requests and t.parties["writer"].connections == 1
 
 
 def test_a_cancelled_request_gets_no_answer_and_the_connection_stays(t: ToolCalls) -> None:
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -15,7 +15,7 @@
 from yewhook.loop import Loop
 from yewhook.platform.peers import Peers
 from yewhook.service import RELOAD_AGAIN, RELOAD_TRIES, Service, listen
-from yewhook.transient_errors import AGAIN, PATIENCE, insist, is_short
+from yewhook.transient_errors import RETRY_INTERVAL_S, RETRY_TIMEOUT_S, is_transient, retry_transient
 
 FREE = ("127.0.0.1", 0)
 
@@ -46,22 +46,22 @@
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EINTR])
 def test_a_call_that_fails_for_want_of_something_is_made_again(number: int) -> None:
     time, call = Time(), Failing(20, number)
-    assert insist(call, lambda: time.now, time.sleep) == "done"
-    assert time.now == pytest.approx(20 * AGAIN)
+    assert retry_transient(call, lambda: time.now, time.sleep) == "done"
+    assert time.now == pytest.approx(20 * RETRY_INTERVAL_S)
 
 
 def test_what_is_never_there_is_given_up_in_time() -> None:
     time = Time()
     with pytest.raises(OSError, match="files"):
-        insist(Failing(10**6, errno.ENFILE), lambda: time.now, time.sleep)
-    assert PATIENCE <= time.now <= PATIENCE + 2 * AGAIN
+        retry_transient(Failing(10**6, errno.ENFILE), lambda: time.now, time.sleep)
+    assert RETRY_TIMEOUT_S <= time.now <= RETRY_TIMEOUT_S + 2 * RETRY_INTERVAL_S
 
 
 @pytest.mark.parametrize("number", [errno.EADDRINUSE, errno.EACCES, errno.ENOENT])
 def test_what_no_wait_mends_is_told_at_once(number: int) -> None:
     call = Failing(1, number)
     with pytest.raises(OSError):
-        insist(call)
+        retry_transient(call)
     assert call.calls == 1
 
 
@@ -69,7 +69,7 @@
     wrong = ConfigError("limits: wrong")
     short = ConfigError("cannot be read")
     short.__cause__ = OSError(errno.EMFILE, "too many")
-    assert is_short(short) and not is_short(wrong)
+    assert is_transient(short) and not is_transient(wrong)
 
 
 @pytest.fixture
@@ -124,7 +124,7 @@
             raise ConfigError("the file cannot be read") from error
         return put_in_force
 
-    service.files.append(configuration)
+    service.reloaders.append(configuration)
     service.reload()
     while now[0] < RELOAD_TRIES * RELOAD_AGAIN + 0.5:
         now[0] += RELOAD_AGAIN / 2
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,7 +10,7 @@
 from random import Random
 
 import pytest
-from scenario import STEP, Party
+from scenario import STEP, FakePeer
 from test_platform import FLEET, Platform, chunk
 
 from yewhook.backoff import Backoff
@@ -156,7 +156,7 @@
 def test_at_sighup_the_old_watch_tells_until_the_new_one_has_answered(p: Platform) -> None:
     # It was let go before: what the old address told until the new one had answered was never heard.
     watched(p)
-    p.parties["other"] = Party()
+    p.parties["other"] = FakePeer()
     p.config = replace(p.config, discovery=p.parties["other"].address)
     p.service.reload()
     p.play("other expect GET /v1/servers?watch=1&after=0\nother send watch\nother send empty\nwait 0.1")
@@ -170,7 +170,7 @@
 
 def test_at_sighup_a_new_address_that_refuses_is_asked_again_and_the_old_one_is_kept(p: Platform) -> None:
     watched(p)
-    p.parties["other"] = Party()
+    p.parties["other"] = FakePeer()
     p.config = replace(p.config, discovery=p.parties["other"].address)
     p.service.reload()
     for _ in range(2):
@@ -198,7 +198,7 @@
 def test_a_process_that_starts_is_ready_with_discoverys_word_and_not_with_an_old_list() -> None:
     # What discovery has counts as told from a process's first moment; the list it was started with is older.
     p = Platform(FLEET, heard=False)
-    assert not p.front.clients.posture.healthy
+    assert not p.front.clients.mode.healthy
     p.play("discovery expect GET\ndiscovery send watch")
     p.parties["discovery"].send(drain(p))
     p.play("wait 0.05\nclient send get path=/healthz\nclient expect 200\nclient send ask\nclient expect 503")
--- a/yewhook/agent/agent.py
+++ b/yewhook/agent/agent.py
@@ -10,20 +10,20 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..agent_link import pin_of
+from ..agent_link import parse_pin
 from ..dnssd import ServiceInstance, master_file
 from ..front import ClientConnections
 from ..jsonrpc import Code, Handler, Id, Peer, RpcError
 from ..loop import Loop
-from ..operations.instance import Posture
-from ..operations.orders import Given, Order, Orders, Refused
-from ..recovery.start_order import due
+from ..operations.instance import FrontMode
+from ..operations.orders import ActiveOrder, Order, OrderRefused, Orders
+from ..recovery.start_order import next_to_start
 from ..service import Acceptor, listen
 from .fleet_file import FleetFile, Spec
 from .instance import Instance, State
 
 if TYPE_CHECKING:
-    from ..recovery.desired_state_store import Book
+    from ..recovery.desired_state_store import DesiredStateStore
 
 POLL_EVERY = 0.1  # s between looks at the processes
 MAX_PEERS = 64  # connections of those who ask
@@ -52,7 +52,7 @@
     def __init__(
         self, loop: Loop, fleet: FleetFile, stop: Callable[[], None], read_again: Callable[[], FleetFile]
     ) -> None:
-        self.loop, self.fleet, self.grace, self.lasts = loop, fleet, fleet.grace, 0.0
+        self.loop, self.fleet, self.grace, self.accept_after_term = loop, fleet, fleet.grace, 0.0
         self._read_again = read_again
         self._stop = stop
         self._peers = peers = AgentPeers(loop, self)
@@ -61,7 +61,7 @@
         self.instances = {spec.name: self._instance(spec) for spec in fleet.instances}
         listener = listen(fleet.listen)
         self.port: int = listener.getsockname()[1]
-        self._acceptor = Acceptor(loop, listener, peers.room, peers.make_room, peers.accepted)
+        self._acceptor = Acceptor(loop, listener, peers.room, peers.free_connections, peers.accepted)
         for instance in self.instances.values():
             self._bring_up(instance)
         self._look()
@@ -73,10 +73,10 @@
         """As operators want it, by what was written down before this agent's start."""
         if self._book is None:
             return instance.wait_for_start()
-        wish = self._book.wanted.of(instance.spec.name)
+        wish = self._book.state.instance(instance.spec.name)
         if wish.drain is not None:
             since = self.loop.now - max(0.0, time.time() - wish.drain.since)
-            instance.orders = Orders(drain=Given(Order.DRAIN, wish.drain.by, since))
+            instance.orders = Orders(drain=ActiveOrder(Order.DRAIN, wish.drain.by, since))
         instance.wanted = wish.runs
         return instance.wait_for_start() if wish.runs else None
 
@@ -84,28 +84,28 @@
         states = [(name, instance.state) for name, instance in self.instances.items()]
         waiting = [name for name, state in states if state is State.DUE]
         starting = sum(state is State.STARTING for _, state in states)
-        for name in due(waiting, starting, self.fleet.at_a_time or len(states)):
+        for name in next_to_start(waiting, starting, self.fleet.at_a_time or len(states)):
             self.instances[name].start()
 
-    def _open(self, folder: Path) -> Book:
+    def _open(self, folder: Path) -> DesiredStateStore:
         """What operators ordered before this agent's start. Raises OSError."""
-        from ..recovery.desired_state_store import Book  # only where it is written down
+        from ..recovery.desired_state_store import DesiredStateStore  # only where it is written down
         from ..recovery.files import Folder
 
-        return Book(Folder(folder), self.loop.log)
+        return DesiredStateStore(Folder(folder), self.loop.log)
 
     def _write_down(self, instance: Instance, orders: Orders, runs: bool) -> None:
-        """What is wanted of it from now on, before anything is done. Raises Refused."""
+        """What is wanted of it from now on, before anything is done. Raises OrderRefused."""
         if self._book is None:
             return
-        from ..recovery.desired_state import Drained, Wish
+        from ..recovery.desired_state import DesiredInstance, Drained
 
         given, unix = orders.drain, time.time() - self.loop.now
         drain = Drained(given.by, given.at + unix) if given is not None else None
         try:
-            self._book.write(instance.spec.name, Wish(runs, drain))
+            self._book.write(instance.spec.name, DesiredInstance(runs, drain))
         except OSError as error:
-            raise Refused(f"{instance.spec.name}: the order can't be written down: {error}") from error
+            raise OrderRefused(f"{instance.spec.name}: the order can't be written down: {error}") from error
 
     def _look(self) -> None:
         self._start_some()
@@ -159,7 +159,7 @@
             runs = method != "agent/stop"
             try:
                 self._write_down(instance, instance.orders, runs)
-            except Refused as error:
+            except OrderRefused as error:
                 raise RpcError(Code.INTERNAL_ERROR, str(error)) from None
             instance.wanted = runs
             actions[method](instance)
@@ -173,7 +173,7 @@
 
         try:
             instance.order(ORDERS[method], str(params.get("by") or "nobody named"), done)
-        except Refused as error:
+        except OrderRefused as error:
             raise RpcError(Code.INVALID_REQUEST, str(error)) from None
         return None
 
@@ -184,7 +184,7 @@
         if not wanted:
             raise RpcError(Code.INVALID_PARAMS, f"no instance named {name!r}")
         if method == "levels/pin":
-            pin_of(params)  # a mistake is told once, by the agent
+            parse_pin(params)  # a mistake is told once, by the agent
         told: dict[str, bool] = {}
 
         def heard(name: str, well: bool) -> None:
@@ -241,19 +241,19 @@
         return any(instance.running for instance in self.instances.values())
 
     @property
-    def able(self) -> bool:
+    def has_workers(self) -> bool:
         return True
 
-    def take(self, posture: Posture) -> None:
+    def set_mode(self, mode: FrontMode) -> None:
         """The agent answers until its last instance has stopped."""
-        if not posture.keeping:
+        if not mode.keep_alive:
             for instance in self.instances.values():
                 instance.stop()
 
-    def thin_out(self, part: float) -> None:
+    def move_streams(self, part: float) -> None:
         """Its instances see to their own streams."""
 
-    def break_off(self) -> None:
+    def end_all(self) -> None:
         for instance in self.instances.values():
             instance.kill()
 
--- a/yewhook/agent/instance.py
+++ b/yewhook/agent/instance.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ..loop import Loop
-from ..operations.orders import Order, Orders, Refused
+from ..operations.orders import Order, OrderRefused, Orders
 from ..service import listen
 from .fleet_file import Spec
 from .probe import PROBE_TIMEOUT, Probe
@@ -52,7 +52,8 @@
         folder: Path,
         write_down: Callable[[Instance, Orders, bool], None],
     ) -> None:
-        """`folder` = where its processes meet; `write_down` its orders, and raise Refused where it can't."""
+        """`folder` = where its processes meet; `write_down` its orders, and raise OrderRefused where it
+        can't."""
         self.spec, self.state, self._folder = spec, State.STOPPED, folder
         self._write_down, self.wanted = write_down, True
         self.orders = Orders()
@@ -135,12 +136,16 @@
     # ---- orders ----
 
     def order(self, order: Order, by: str, done: Callable[[str], None]) -> None:
-        """Carry out an operator's order; `done` hears of its end, with why it failed. Raises Refused."""
+        """Carry out an operator's order; `done` hears of its end, with why it failed. Raises OrderRefused."""
         if order is Order.UPGRADE and not self.spec.upgradable:
-            raise Refused(f"{self.spec.name} has a tool-calls front, which can't be handed on: restart it")
+            raise OrderRefused(
+                f"{self.spec.name} has a tool-calls front, which can't be handed on: restart it"
+            )
         if order is Order.UPGRADE and self.state not in (State.READY, State.DRAINED):
-            raise Refused(f"{self.spec.name} is {self.state.value}: only one that serves can be replaced")
-        orders = self.orders.take(order, by, self._loop.now)
+            raise OrderRefused(
+                f"{self.spec.name} is {self.state.value}: only one that serves can be replaced"
+            )
+        orders = self.orders.with_order(order, by, self._loop.now)
         if order is not Order.UPGRADE:  # one that a power loss breaks off is over
             self._write_down(self, orders, self.wanted)
         self.orders = orders
@@ -165,7 +170,7 @@
         try:
             process, line = self._spawn()
         except OSError as error:
-            self.orders = self.orders.over()
+            self.orders = self.orders.without_upgrade()
             return done(str(error))
         self._loop.log("upgrade begun", f"{self.spec.name} pid {process.pid} beside {self.report()['pid']}")
         self._next = Successor(process, line, self._loop.now + SUCCESSOR_TIMEOUT, done)
@@ -190,7 +195,7 @@
         return successor.line.look()
 
     def _upgraded(self, successor: Successor, why_not: str) -> None:
-        self._next, self.orders = None, self.orders.over()
+        self._next, self.orders = None, self.orders.without_upgrade()
         if why_not:
             successor.line.close()
             self._loop.log("upgrade failed", f"{self.spec.name}: {why_not}")
--- a/yewhook/agent/router_link.py
+++ b/yewhook/agent/router_link.py
@@ -53,7 +53,7 @@
 
     def close(self) -> None:
         """Hang up; whoever waits for an answer is told that there is none."""
-        self._peer.hang_up()
+        self._peer.close_gracefully()
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
         raise RpcError(Code.METHOD_NOT_FOUND, "a router asks nothing of its agent")
--- a/yewhook/agent_link.py
+++ b/yewhook/agent_link.py
@@ -10,33 +10,33 @@
 from .levels.level import Level
 from .operations.instance import Event
 from .service import Service
-from .service_level_admin import Oversight
+from .service_level_admin import ServiceLevelAdmin
 
 ORDERS = {"router/drain": Event.DRAIN, "router/resume": Event.RESUME}
 PIN_MOST = 7 * 86400.0  # s for which a level may be pinned
 
 
-class Control:
+class AgentLink:
     """The router's end. Without an agent there is none."""
 
-    def __init__(self, service: Service, descriptor: int, oversight: Oversight) -> None:
-        self._oversight, self._service, loop = oversight, service, service.loop
+    def __init__(self, service: Service, descriptor: int, level_admin: ServiceLevelAdmin) -> None:
+        self._level_admin, self._service, loop = level_admin, service, service.loop
         self._peer = Peer.accepted(loop, socket.socket(fileno=descriptor), self)
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
         if method == "levels/pin":
-            self._oversight.pin(*pin_of(params))
+            self._level_admin.pin(*parse_pin(params))
         elif method == "levels/unpin":
-            self._oversight.unpin()
+            self._level_admin.unpin()
         elif method in ORDERS:
-            if not self._service.instance.obeys(ORDERS[method]):
+            if not self._service.instance.accepts(ORDERS[method]):
                 raise RpcError(Code.INVALID_REQUEST, f"{self._service.instance.state.value}: too late")
-            self._service.hear(ORDERS[method])
+            self._service.handle_event(ORDERS[method])
         elif method != "router/status":
             raise RpcError(Code.METHOD_NOT_FOUND, f"unknown method {method!r}")
         instance = self._service.instance
         told = {"state": instance.state.value, "serves": instance.serves}
-        peer.result(request_id, self._oversight.report() | told)
+        peer.result(request_id, self._level_admin.report() | told)
 
     def notification(self, peer: Peer, method: str, params: dict[str, Any]) -> None:
         """The agent announces nothing."""
@@ -48,7 +48,7 @@
         """Reports are short."""
 
 
-def pin_of(params: dict[str, Any]) -> tuple[Level, float, str]:
+def parse_pin(params: dict[str, Any]) -> tuple[Level, float, str]:
     """Level, seconds and reason of a request to pin. Raises RpcError."""
     try:
         level = Level.named(str(params.get("level")))
--- a/yewhook/arrival_time.py
+++ b/yewhook/arrival_time.py
@@ -9,7 +9,7 @@
 from .loop import Loop
 
 
-class UnreadSince:
+class ArrivalTime:
     """Of one connection. All times are the loop's, in s."""
 
     def __init__(self, loop: Loop, opened_after: float) -> None:
@@ -20,13 +20,13 @@
     @property
     def earliest(self) -> float:
         """What is read now has not come before this."""
-        looked_at = self._loop.looked_at
+        looked_at = self._loop.previous_poll_at
         return looked_at if self._watched_at < looked_at else self._since
 
-    def stop(self) -> None:
+    def reading_paused(self) -> None:
         """The connection is not read for a while."""
         self._since = self._loop.now
 
-    def go_on(self) -> None:
+    def reading_resumed(self) -> None:
         """It is read again."""
         self._watched_at = self._loop.now
--- a/yewhook/cli.py
+++ b/yewhook/cli.py
@@ -13,7 +13,7 @@
 import typer
 
 from . import __version__
-from .commands.common import AGENT, At, ask_agent, complaint, read_settings
+from .commands.common import AGENT, At, ask_agent, read_settings, usage_error
 from .commands.lab import lab
 from .commands.levels import level_of, levels
 from .commands.recovery import recovery
@@ -23,15 +23,15 @@
 from .levels.level import Level
 from .log import Log
 from .operations.instance import Event
-from .operations.management_endpoint import FILES, Door
+from .operations.management_endpoint import RESERVED_DESCRIPTORS, ManagementEndpoint
 from .platform.front import PlatformFront
-from .service import Room, Service
-from .service_level_admin import Oversight
-from .transient_errors import insist
+from .service import ResourceBudget, Service
+from .service_level_admin import ServiceLevelAdmin
+from .transient_errors import retry_transient
 
 if TYPE_CHECKING:
     from .recovery.settings import RecoverySettings
-    from .recovery.snapshot_store import Keeper
+    from .recovery.snapshot_store import SnapshotStore
 
 REQUEST_LOG = "PROXY_REQUEST_LOG"  # "all" = write each step of each request, for those who look for a fault
 UPGRADE_PATIENCE = 20.0  # s; the agent gives up before
@@ -54,68 +54,72 @@
     """Run one router until SIGTERM."""
     name = os.environ.get("PROXY_NAME", "router")
     service = Service(Log(name, detailed=os.environ.get(REQUEST_LOG) == "all"))
-    service.heed_signals()
+    service.handle_signals()
     fronts: list[RouterFront] = []
-    keeper = None
+    snapshot_store = None
     try:
         read_operators = partial(read_settings, settings)
-        operators = insist(read_operators)
-        service.log.use(operators.log)
-        config = insist(partial(read_config, os.environ)) if platform else None
+        operators = retry_transient(read_operators)
+        service.log.set_format(operators.log)
+        config = retry_transient(partial(read_config, os.environ)) if platform else None
         limits = config.limits if config else Limits()
-        door_files = FILES if config is not None and config.mgmt is not None else 0
-        room = Room(service.loop, limits, door_files)
+        door_files = RESERVED_DESCRIPTORS if config is not None and config.mgmt is not None else 0
+        room = ResourceBudget(service.loop, limits, door_files)
         if config is not None:
-            keeper = _keeper(service, config, operators.recovery)
-            fronts.append(_platform(service, config, room, keeper))
+            snapshot_store = _snapshot_store(service, config, operators.recovery)
+            fronts.append(_platform(service, config, room, snapshot_store))
         if toolcalls is not None:
             fronts.append(_toolcalls(service, toolcalls, room))
-        oversight = Oversight(service.loop, service.log, limits, fronts, operators, read_operators)
-        if keeper is not None and (pin := keeper.pin) is not None:
-            oversight.pin(Level.named(pin.level), pin.until - time.time(), pin.reason)
+        level_admin = ServiceLevelAdmin(service.loop, service.log, limits, fronts, operators, read_operators)
+        if snapshot_store is not None and (pin := snapshot_store.pin) is not None:
+            level_admin.pin(Level.named(pin.level), pin.until - time.time(), pin.reason)
     except (ConfigError, OSError) as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     if not fronts:
-        raise complaint("nothing to serve: --no-platform and no --toolcalls")
+        raise usage_error("nothing to serve: --no-platform and no --toolcalls")
     service.fronts += fronts
     if drained:
-        service.hear(Event.DRAIN)
-    service.files.append(oversight.reload)
+        service.handle_event(Event.DRAIN)
+    service.reloaders.append(level_admin.reload)
     if control_fd is not None:
-        from .agent_link import Control
+        from .agent_link import AgentLink
 
-        Control(service, control_fd, oversight)
+        AgentLink(service, control_fd, level_admin)
     service.run()
 
 
-def _keeper(service: Service, config: Config, settings: RecoverySettings | None) -> Keeper | None:
+def _snapshot_store(
+    service: Service, config: Config, settings: RecoverySettings | None
+) -> SnapshotStore | None:
     if settings is None:
         return None
     # Only where operators want it: what is kept takes a library and memory.
-    from .recovery.snapshot_store import Keeper
+    from .recovery.snapshot_store import SnapshotStore
 
-    return Keeper(service.loop, settings, config.settings, config.names, config.seed)
+    return SnapshotStore(service.loop, settings, config.settings, config.names, config.seed)
 
 
-def _platform(service: Service, config: Config, room: Room, keeper: Keeper | None) -> RouterFront:
-    succession = None
+def _platform(
+    service: Service, config: Config, room: ResourceBudget, snapshot_store: SnapshotStore | None
+) -> RouterFront:
+    hot_restart = None
     if config.accept_fd is not None:
         # Only where a process can be replaced; what the hand-over needs is not free.
-        from .operations.hot_restart import take_place
+        from .operations.hot_restart import join_instance
 
-        succession = take_place(service, os.environ, config.name)
+        hot_restart = join_instance(service, os.environ, config.name)
     if config.mgmt is not None:
-        Door(service, config.mgmt)
-    handed = succession.await_handover() if succession is not None else None
-    succeeds = succession is not None and succession.succeeds
+        ManagementEndpoint(service, config.mgmt)
+    handed = hot_restart.await_handover() if hot_restart is not None else None
+    succeeds = hot_restart is not None and hot_restart.has_predecessor
     again = partial(read_config, os.environ, again=True)
-    front = PlatformFront(service.loop, config, room, again, succeeds, handed, keeper)
-    if succession is not None:
-        succession.attend(front.knowledge, room)
+    front = PlatformFront(service.loop, config, room, again, succeeds, handed, snapshot_store)
+    if hot_restart is not None:
+        hot_restart.monitor(front.handover_state, room)
     return front
 
 
-def _toolcalls(service: Service, path: Path, room: Room) -> RouterFront:
+def _toolcalls(service: Service, path: Path, room: ResourceBudget) -> RouterFront:
     # Only this front needs a DNS library, and a router of the platform has little memory.
     from .toolcalls.config import read
     from .toolcalls.front import ToolCallsFront
@@ -164,7 +168,7 @@
             known = len(config.known.get("instances") or [])
             typer.echo(f"{config.name}: listens on {_place(config.listen)}, {known} known workers")
     except ConfigError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
 
 
 def _place(address: Address) -> str:
@@ -179,7 +183,7 @@
     try:
         found = Records(file, domain.rstrip(".") + ".").browse(service)
     except RecordsError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     for one in found:
         texts = " ".join(f"{key}={value}" for key, value in one.texts.items())
         typer.echo(f"{one.name}\t{_place(one.address)}\t{texts}")
@@ -192,12 +196,12 @@
     from .agent.fleet_file import read as read_fleet
 
     service = Service(Log("agent"))
-    service.heed_signals()
+    service.handle_signals()
     try:
-        stop = partial(service.hear, Event.TERM)
+        stop = partial(service.handle_event, Event.TERM)
         runner = Agent(service.loop, read_fleet(fleet), stop, partial(read_fleet, fleet))
     except (ConfigError, OSError) as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     service.fronts.append(runner)
     service.run()
 
--- a/yewhook/commands/common.py
+++ b/yewhook/commands/common.py
@@ -15,7 +15,7 @@
 AGENT = "127.0.0.1:7400"
 
 
-def complaint(error: object) -> typer.Exit:
+def usage_error(error: object) -> typer.Exit:
     typer.echo(f"yewhook: {error}", err=True)
     return typer.Exit(2)
 
@@ -36,7 +36,7 @@
     try:
         return ask(address(at, "--agent"), method, params, timeout)
     except ConfigError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     except RpcError as error:
         typer.echo(f"yewhook: {error.message}", err=True)
     except OSError as error:
--- a/yewhook/commands/levels.py
+++ b/yewhook/commands/levels.py
@@ -11,9 +11,9 @@
 import typer
 
 from ..config import ConfigError
-from ..levels.level import MEANING, Level
+from ..levels.level import LEVEL_DESCRIPTIONS, Level
 from ..levels.settings import LevelsSettings
-from .common import AGENT, At, ask_agent, complaint, read_settings
+from .common import AGENT, At, ask_agent, read_settings, usage_error
 
 levels = typer.Typer(no_args_is_help=True, help="Levels of reduced service.")
 UNITS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -40,7 +40,7 @@
     """The levels with their conditions, a line each."""
     yield f"levels are {settings.mode.value}"
     for level in settings.known:
-        yield f"{level.label}: {MEANING[level]}"
+        yield f"{level.label}: {LEVEL_DESCRIPTIONS[level]}"
         if level is Level.FULL:
             continue
         for name, limit in settings.levels[level].conditions.items():
@@ -76,7 +76,7 @@
     try:
         settings = read_settings(service).levels
     except ConfigError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     for line in table(settings):
         typer.echo(line)
 
@@ -93,7 +93,7 @@
     try:
         seconds = seconds_of(duration)
     except ValueError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     _told(ask_agent(at, "levels/pin", level=level, for_s=seconds, reason=reason, **_one(router)))
 
 
--- a/yewhook/connection_limiter.py
+++ b/yewhook/connection_limiter.py
@@ -12,26 +12,26 @@
 from typing import NamedTuple, TypeVar
 
 
-class Stand(Enum):
+class ConnectionActivity(Enum):
     """Where a connection stands, and the s of that before it may give way. In the order of giving way."""
 
     ANSWERED = 0.05  # and nothing asked since; the answer has had the time to arrive
-    SILENT = 0.3  # opened, and not a byte yet: a client that means to ask does so at once
-    HALF = 0.7  # in the middle of a request: one written over 2 s pauses for less
-    BUSY = float("inf")
+    NOTHING_RECEIVED = 0.3  # opened, and not a byte yet: a client that means to ask does so at once
+    READING_REQUEST = 0.7  # in the middle of a request: one written over 2 s pauses for less
+    SERVING = float("inf")
 
 
-class Standing(NamedTuple):
-    stand: Stand
+class ConnectionStatus(NamedTuple):
+    activity: ConnectionActivity
     since: float  # of the last byte, or the last answer's end
 
 
 K = TypeVar("K")
-_ORDER = {stand: place for place, stand in enumerate(Stand)}
+_ORDER = {stand: place for place, stand in enumerate(ConnectionActivity)}
 
 
-def give_way(standings: Iterable[tuple[Standing, K]], now: float, most: int) -> list[K]:
+def connections_to_close(standings: Iterable[tuple[ConnectionStatus, K]], now: float, most: int) -> list[K]:
     """At most so many that may give way, who loses least first; among equals who has stood longest."""
-    ripe = [(s, k) for s, k in standings if now - s.since >= s.stand.value]
-    ripe.sort(key=lambda entry: (_ORDER[entry[0].stand], entry[0].since))
+    ripe = [(s, k) for s, k in standings if now - s.since >= s.activity.value]
+    ripe.sort(key=lambda entry: (_ORDER[entry[0].activity], entry[0].since))
     return [k for _, k in ripe[:most]]
--- a/yewhook/connection_pool.py
+++ b/yewhook/connection_pool.py
@@ -25,7 +25,7 @@
 C = TypeVar("C", bound=Pooled)
 
 
-class Pool(Generic[C]):
+class ConnectionPool(Generic[C]):
     def __init__(
         self,
         loop: Loop,
@@ -60,7 +60,7 @@
 
     def keep(self, connection: C) -> None:
         connection.idle_since = self.loop.now
-        self.liveness.hear(connection.address, self.loop.now)
+        self.liveness.record_heard(connection.address, self.loop.now)
         connection.channel.pause(False)  # a slow client may have had its last exchange paused
         self._idle.setdefault(connection.address, []).append(connection)
 
--- a/yewhook/core/ports.py
+++ b/yewhook/core/ports.py
@@ -63,7 +63,7 @@
         """The server has been gone for long."""
 
 
-class Told(Protocol):
+class AttemptListener(Protocol):
     """Where the workers' side tells what comes of an attempt: the core's router."""
 
     def event(self, request_id: str, number: int, data: object) -> bool: ...
--- a/yewhook/core/request_records.py
+++ b/yewhook/core/request_records.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Life:
+class RequestRecord:
     arrived: RequestArrived
     effect: Effect
     client: Client
--- a/yewhook/core/router.py
+++ b/yewhook/core/router.py
@@ -13,7 +13,7 @@
 
 from hopshed import Controller
 from hopshed import interface as i
-from hopshed.handover import Knowledge, give, know, remind, take
+from hopshed.handover import LearnedState, export_state, import_state, merge_state, split_state
 from hopshed.role_usage import role_usage
 
 from ..deadlines import Deadline, Deadlines
@@ -22,7 +22,7 @@
 from .ending import NO_STATE_NOTE, OUTCOMES, Ending
 from .held_state import HeldState
 from .ports import Client, Governor, Workers
-from .request_records import Attempt, Life, Stage
+from .request_records import Attempt, RequestRecord, Stage
 from .server_table import ServerTable
 from .spent_ids import SpentIds
 from .state_releases import StateReleases
@@ -44,14 +44,14 @@
         self.settings, self.workers, self.log = settings, workers, log
         self.governor: Governor | None = None  # levels of service, where they are on
         self.tell: Callable[[bytes], None] = lambda data: None  # to the other routers, where there is a way
-        self.lives: dict[str, Life] = {}
+        self.requests: dict[str, RequestRecord] = {}
         self.table = ServerTable()
         self._spent = SpentIds()
         self._module = Controller(settings, seed, self._explained)
         self._seed = seed
         self._deadlines, self._clock = deadlines, clock
         self._facts: list[i.Event] = []
-        self._unsettled: list[Life] = []
+        self._unsettled: list[RequestRecord] = []
         self._releases = StateReleases(
             deadlines, clock, workers, log, settings.release_within, self._held_too_long
         )
@@ -72,18 +72,18 @@
 
     @property
     def busy(self) -> bool:
-        return bool(self.lives)
+        return bool(self.requests)
 
     # ---- facts from a front ----
 
     def accept(self, arrived: i.RequestArrived, client: Client, call: object) -> bool:
         """Take a request over; False where one with this id is open, or has run and may not be repeated."""
-        if arrived.id in self.lives or self._spent.holds(arrived.id, self._clock()):
+        if arrived.id in self.requests or self._spent.holds(arrived.id, self._clock()):
             return False
         effect = self.settings.classes[arrived.cls].effect
         deadline = self._clock() + arrived.patience
         held = HeldState(self.settings.release_within)
-        life = self.lives[arrived.id] = Life(arrived, effect, client, call, deadline, held)
+        life = self.requests[arrived.id] = RequestRecord(arrived, effect, client, call, deadline, held)
         at = life.deadline + ANSWER_GRACE
         life.timers.append(self._deadlines.set(at, lambda: self._overdue(life)))
         self._facts.append(arrived)
@@ -92,7 +92,7 @@
         return True
 
     def client_left(self, request_id: str, ending: Ending = Ending.CLIENT_LEFT) -> None:
-        life = self.lives.get(request_id)
+        life = self.requests.get(request_id)
         if life is None or life.stage is Stage.ENDED:
             return
         self.log("client left", f"{request_id} {life.stage.name.lower()}: {ending.name.lower()}")
@@ -102,27 +102,27 @@
 
     def give_up(self, request_id: str) -> None:
         """Answer a request now, whatever the module would still have done for it."""
-        life = self.lives.get(request_id)
+        life = self.requests.get(request_id)
         if life is not None and life.unanswered:
             life.reason = "given up"
             self._facts.append(i.ClientGone(request_id))
             self._decline(life, 0.0)
 
     def client_slow(self, request_id: str, slow: bool) -> None:
-        life = self.lives.get(request_id)
+        life = self.requests.get(request_id)
         if life is not None and life.stage is Stage.STREAMING and life.out is not None:
             self.workers.pause(request_id, life.out.number, slow)
 
-    def thin_out(self, part: float) -> None:
+    def move_streams(self, part: float) -> None:
         """Move a part of the streams, the latest first: the others are nearer to their ends."""
-        streams = [life for life in self.lives.values() if life.stage is Stage.STREAMING]
+        streams = [life for life in self.requests.values() if life.stage is Stage.STREAMING]
         count = int(part * len(streams)) if self.settings.may_resume else 0
         for life in streams[len(streams) - count :]:
             self._move(i.MoveStream(life.id))
 
-    def break_off(self) -> None:
+    def end_all(self) -> None:
         """End all that is open in good order, for the process is about to go: clients go on elsewhere."""
-        for life in list(self.lives.values()):
+        for life in list(self.requests.values()):
             self.give_up(life.id)
             self._move(i.MoveStream(life.id))
 
@@ -135,43 +135,43 @@
         for number in changes.gone:
             self._deadlines.set(now + i.FORGET_AFTER, partial(self._forget, number))
         self._facts.append(i.ServersListed(kind, servers))
-        for life in list(self.lives.values()) if changes.told_off else ():
+        for life in list(self.requests.values()) if changes.withdrawn else ():
             out = life.out
             if (
                 out is not None
-                and out.server in changes.told_off
+                and out.server in changes.withdrawn
                 and self.workers.withdraw(life.id, out.number)
             ):
                 self.ended(life.id, out.number, Ending.SERVER_LEFT)
 
-    def knowledge(self) -> Knowledge:
+    def split_learned_state(self) -> LearnedState:
         """What the module has learnt, for a successor."""
-        return take(self._module)
+        return split_state(self._module)
 
-    def known(self) -> Knowledge:
+    def export_learned_state(self) -> LearnedState:
         """What the module has learnt, for a process that comes after this one's end."""
-        return know(self._module)
+        return export_state(self._module)
 
-    def remind(self, known: Knowledge) -> None:
+    def merge_learned_state(self, known: LearnedState) -> None:
         """Let the module know what an earlier process learnt."""
-        remind(self._module, known)
+        merge_state(self._module, known)
 
-    def resume(self, told_off: dict[int, float], known: Knowledge) -> None:
+    def resume(self, told_off: dict[int, float], known: LearnedState) -> None:
         """Go on from a predecessor's knowledge, once the list has been heard. Raises ValueError."""
         self.table.resume(told_off)
         self.turn(self._clock())
-        give(self._module, known, self._clock())
+        import_state(self._module, known, self._clock())
 
     @property
-    def told_off(self) -> dict[int, float]:
-        return dict(self.table.told_off)
+    def withdrawn_since(self) -> dict[int, float]:
+        return dict(self.table.withdrawn_since)
 
     def _forget(self, number: int) -> None:
         """Let go of all that is known of a server that has been gone for long; ids never come to an end."""
         if self.table.forget(number, self._clock()):
             self.workers.forget(number)
 
-    def peer_said(self, sender: int, data: bytes) -> None:
+    def peer_message(self, sender: int, data: bytes) -> None:
         """A message of another router."""
         self._facts.append(i.PeerSaid(sender, data))
 
@@ -228,7 +228,7 @@
         events, self._facts = self._facts, []
         if events:
             for event in events:
-                if isinstance(event, i.RequestArrived) and (life := self.lives.get(event.id)):
+                if isinstance(event, i.RequestArrived) and (life := self.requests.get(event.id)):
                     life.stage = Stage.DECIDING if life.stage is Stage.ACCEPTED else life.stage
             try:
                 if self.governor is not None:
@@ -247,7 +247,7 @@
             self._settle(life)
         return bool(self._facts)
 
-    def govern(self, governor: Governor | None) -> None:
+    def set_governor(self, governor: Governor | None) -> None:
         """Go on with this governor, or with none; it hears of the fleet before anything else."""
         self.governor = governor
         self._facts.append(i.ServiceLevel())
@@ -265,12 +265,12 @@
             return ask(self.governor)
         except Exception:
             self.log("levels failed", traceback.format_exc().replace("\n", " | "))
-            self.govern(None)
+            self.set_governor(None)
             return otherwise
 
     def _start_over(self) -> None:
         """The module failed half-way: answer what waits on it, and go on with a fresh one."""
-        for life in list(self.lives.values()):
+        for life in list(self.requests.values()):
             if life.unanswered:
                 life.reason = "the module failed"
                 self._decline(life, 0.0)
@@ -281,13 +281,13 @@
         self._facts = [i.ServersListed(i.ListKind.FULL, self._listed())]
 
     def _explained(self, request_id: str, reason: str) -> None:
-        if life := self.lives.get(request_id):
+        if life := self.requests.get(request_id):
             life.reason = reason
 
     # ---- the module's actions ----
 
     def _send(self, act: i.Send) -> None:
-        life = self.lives.get(act.id)
+        life = self.requests.get(act.id)
         if life is None:
             self.log("send for an unknown request", act.id)
             return
@@ -295,7 +295,7 @@
         number = len(life.attempts)
         reads = server is not None and self.settings.roles[server.kind] is i.Role.READER
         withheld = send_rules.withheld(
-            life, self.table.standing(act.server, self._clock()), self.settings, self._clock()
+            life, self.table.status(act.server, self._clock()), self.settings, self._clock()
         )
         if withheld is not None:
             self.log("send withheld", f"{act.id} attempt {number}: {withheld}")
@@ -321,14 +321,14 @@
         if not (reads and self._releases.read(life, attempt, begin_late)):
             self._begin(life, attempt, expires)
 
-    def _begin_late(self, life: Life, attempt: Attempt, expires: float) -> None:
+    def _begin_late(self, life: RequestRecord, attempt: Attempt, expires: float) -> None:
         life.waiting = None
         attempt.sent = self._clock()
-        if self.table.standing(attempt.server, attempt.sent).told_off_for > 0:
+        if self.table.status(attempt.server, attempt.sent).withdrawn_for > 0:
             return self.ended(life.id, attempt.number, Ending.SERVER_LEFT)
         return self._begin(life, attempt, expires)
 
-    def _begin(self, life: Life, attempt: Attempt, expires: float) -> None:
+    def _begin(self, life: RequestRecord, attempt: Attempt, expires: float) -> None:
         """Hand an attempt to the workers' side, unless its client has left while this turn went on."""
         if life.client.left:
             return self.client_left(life.id)
@@ -340,10 +340,10 @@
         return None
 
     def _refuse(self, act: i.Refuse) -> None:
-        if life := self.lives.get(act.id):
+        if life := self.requests.get(act.id):
             self._decline(life, act.retry_after)
 
-    def _decline(self, life: Life, retry_after: float) -> None:
+    def _decline(self, life: RequestRecord, retry_after: float) -> None:
         """Refuse, which promises that a repeat is harmless, or fail where that can't be promised."""
         if send_rules.refusal_is_harmless(life, self.settings):
             self.log("request refused", f"{life.id} after {len(life.attempts)} attempts: {life.reason}")
@@ -352,13 +352,13 @@
             self._fail(i.Fail(life.id))
 
     def _fail(self, act: i.Fail) -> None:
-        if life := self.lives.get(act.id):
+        if life := self.requests.get(act.id):
             last = life.attempts[-1].ending if life.attempts else None
             self.log("request failed", f"{life.id} after {len(life.attempts)} attempts: {life.reason}")
             self._end(life, None, lambda: life.client.fail(last))
 
     def _release(self, act: i.ReleaseState) -> None:
-        if life := self.lives.get(act.id):
+        if life := self.requests.get(act.id):
             self._releases.let_go(life)
         else:
             self._releases.let_go_of_forgotten(act.id)
@@ -369,7 +369,7 @@
             self._abort(life, attempt, Ending.CANCELED)
 
     def _move(self, act: i.MoveStream) -> None:
-        life = self.lives.get(act.id)
+        life = self.requests.get(act.id)
         if life is None or life.stage is not Stage.STREAMING:
             return
         if life.out is not None:  # its worker may have finished it, and the end not been read yet
@@ -383,35 +383,37 @@
 
     # ---- endings ----
 
-    def _out(self, request_id: str, number: int) -> tuple[Life | None, Attempt | None]:
-        life = self.lives.get(request_id)
+    def _out(self, request_id: str, number: int) -> tuple[RequestRecord | None, Attempt | None]:
+        life = self.requests.get(request_id)
         attempt = life.out if life is not None else None
         return life, attempt if attempt is not None and attempt.number == number else None
 
-    def _timed_out(self, life: Life, attempt: Attempt) -> None:
+    def _timed_out(self, life: RequestRecord, attempt: Attempt) -> None:
         if attempt.live:
             self._abort(life, attempt, Ending.TIMED_OUT)
 
-    def _abort(self, life: Life, attempt: Attempt, ending: Ending) -> None:
+    def _abort(self, life: RequestRecord, attempt: Attempt, ending: Ending) -> None:
         written = self.workers.abort(life.id, attempt.number)
         if ending is Ending.TIMED_OUT and not written:
             ending = Ending.UNSENT_IN_TIME
         self.ended(life.id, attempt.number, ending)
 
-    def _overdue(self, life: Life) -> None:
+    def _overdue(self, life: RequestRecord) -> None:
         if life.unanswered:
             life.reason = "overdue"
             self.log("answer overdue", life.id)
             self._decline(life, 0.0)
 
-    def _finish(self, life: Life, ending: Ending) -> None:
+    def _finish(self, life: RequestRecord, ending: Ending) -> None:
         """The running stream is over, by its own end."""
         if ending is Ending.SERVED:
             self._end(life, None, life.client.finish)
         else:
             self._end(life, None, lambda: life.client.break_off(ending))
 
-    def _end(self, life: Life, ending: Ending | None, answer: Callable[[], None] | None = None) -> None:
+    def _end(
+        self, life: RequestRecord, ending: Ending | None, answer: Callable[[], None] | None = None
+    ) -> None:
         """The one way out of a life: no attempt left out, at most one answer, then what is held let go."""
         if life.stage is Stage.ENDED:
             return
@@ -423,24 +425,24 @@
             answer()
         self._unsettled.append(life)
 
-    def _stop_timers(self, life: Life, attempt: Attempt | None) -> None:
+    def _stop_timers(self, life: RequestRecord, attempt: Attempt | None) -> None:
         for timer in life.timers:
             self._deadlines.cancel(timer)
         life.timers.clear()
         if attempt is not None:
             self._deadlines.cancel(attempt.timer)
 
-    def _settle(self, life: Life) -> None:
+    def _settle(self, life: RequestRecord) -> None:
         """See to what workers may hold, and forget a request that has ended with no attempt out."""
         if life.stage is not Stage.ENDED:
             return self._releases.watch(life)
         if life.out is not None:
             return None
         self._releases.end(life)
-        self.lives.pop(life.id, None)
+        self.requests.pop(life.id, None)
         if not send_rules.refusal_is_harmless(life, self.settings):
             self._spent.add(life.id, self._clock())
         return None
 
-    def _held_too_long(self, life: Life) -> None:
+    def _held_too_long(self, life: RequestRecord) -> None:
         self._facts.append(i.StateReleased(life.id))
--- a/yewhook/core/send_rules.py
+++ b/yewhook/core/send_rules.py
@@ -12,8 +12,8 @@
 from hopshed.interface import Effect, Group, Settings
 
 from .ending import OUTCOMES
-from .request_records import Attempt, Life, Stage
-from .server_table import Standing
+from .request_records import Attempt, RequestRecord, Stage
+from .server_table import ServerStatus
 
 MIN_CONNECT_TIME = 0.05  # s that a connection has to come up, however short the times of the settings are
 
@@ -41,7 +41,7 @@
 }
 
 
-def withheld(life: Life, server: Standing, settings: Settings, now: float) -> Withheld | None:
+def withheld(life: RequestRecord, server: ServerStatus, settings: Settings, now: float) -> Withheld | None:
     """Why a request may not be sent to a server now; None where it may."""
     if life.stage is not Stage.DECIDING:
         return STAGES[life.stage]
@@ -53,7 +53,7 @@
         return Withheld.DEADLINE_PASSED
     if not server.known:
         return Withheld.UNKNOWN_SERVER
-    if server.told_off_for > settings.drain_grace:
+    if server.withdrawn_for > settings.drain_grace:
         return Withheld.SERVER_DRAINS
     if not may_have_run(life):
         return None
@@ -62,7 +62,7 @@
     return Withheld.REPEAT_WINDOW_OVER if repeat_window_left(life, settings, now) <= 0 else None
 
 
-def connect_within(life: Life, settings: Settings, now: float) -> float:
+def connect_within(life: RequestRecord, settings: Settings, now: float) -> float:
     """s in which an attempt must be on its way, however long a connection may take to come up.
 
     A server told to drain meanwhile gets nothing later, a repeat after its window runs anew, and the time in
@@ -73,19 +73,19 @@
     return min(within, repeat_window_left(life, settings, now)) if may_have_run(life) else within
 
 
-def refusal_is_harmless(life: Life, settings: Settings) -> bool:
+def refusal_is_harmless(life: RequestRecord, settings: Settings) -> bool:
     """Whether a refusal, which promises that a repeat is harmless, may be given."""
     cls = settings.classes[life.arrived.cls]
     repeatable = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
     return repeatable or not may_have_run(life)
 
 
-def may_have_run(life: Life) -> bool:
+def may_have_run(life: RequestRecord) -> bool:
     """Whether an attempt of it may have had an effect."""
     return any(_may_have_run(attempt) for attempt in life.attempts)
 
 
-def repeat_window_left(life: Life, settings: Settings, now: float) -> float:
+def repeat_window_left(life: RequestRecord, settings: Settings, now: float) -> float:
     """s in which a request that may have run may go out again; infinity where no window is set."""
     if life.effect is not Effect.KEYED:
         return math.inf
--- a/yewhook/core/server_table.py
+++ b/yewhook/core/server_table.py
@@ -9,18 +9,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ServerStatus:
     """What the list says of a server."""
 
     known: bool
-    told_off_for: float  # s since it was told to drain or be gone; 0 where it runs
+    withdrawn_for: float  # s since it was told to drain or be gone; 0 where it runs
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
     """What a list has changed."""
 
-    told_off: frozenset[int]  # told to drain or be gone just now
+    withdrawn: frozenset[int]  # told to drain or be gone just now
     gone: tuple[int, ...]  # to be forgotten after `FORGET_AFTER`
 
 
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self.servers: dict[int, Server] = {}
-        self.told_off: dict[int, float] = {}  # server -> since when it is told to drain or be gone
+        self.withdrawn_since: dict[int, float] = {}  # server -> since when it is told to drain or be gone
 
     def update(self, kind: ListKind, servers: tuple[Server, ...], now: float) -> Changes:
         """Take in a list, or changes to it; what a whole list does not name is gone."""
@@ -44,30 +44,32 @@
             if server.state is ServerState.GONE and (before is None or before.state is not server.state):
                 gone.append(number)
             if server.state is ServerState.RUNNING:
-                self.told_off.pop(number, None)
-            elif number not in self.told_off:
-                self.told_off[number] = now
+                self.withdrawn_since.pop(number, None)
+            elif number not in self.withdrawn_since:
+                self.withdrawn_since[number] = now
                 told_off.add(number)
         return Changes(frozenset(told_off), tuple(gone))
 
     def resume(self, told_off: Mapping[int, float]) -> None:
         """Take over since when servers that are told off here, too, have been so at a predecessor."""
-        self.told_off.update((number, at) for number, at in told_off.items() if number in self.told_off)
+        self.withdrawn_since.update(
+            (number, at) for number, at in told_off.items() if number in self.withdrawn_since
+        )
 
     def forget(self, number: int, now: float) -> bool:
         """Let go of a server that has been gone for long; whether it was. Ids never come to an end."""
         server = self.servers.get(number)
         if server is None or server.state is not ServerState.GONE:
             return False
-        if now - self.told_off[number] < FORGET_AFTER / 2:
+        if now - self.withdrawn_since[number] < FORGET_AFTER / 2:
             return False  # it came back meanwhile and is gone again, with a later time of its own
         del self.servers[number]
-        self.told_off.pop(number, None)
+        self.withdrawn_since.pop(number, None)
         return True
 
-    def standing(self, number: int, now: float) -> Standing:
+    def status(self, number: int, now: float) -> ServerStatus:
         """What is known of a server."""
-        return Standing(number in self.servers, now - self.told_off.get(number, now))
+        return ServerStatus(number in self.servers, now - self.withdrawn_since.get(number, now))
 
     def present(self) -> tuple[Server, ...]:
         """Those that are not gone."""
--- a/yewhook/core/state_releases.py
+++ b/yewhook/core/state_releases.py
@@ -14,7 +14,7 @@
 from ..log import Log
 from .ending import GIVEN_UP
 from .ports import Workers
-from .request_records import Attempt, Life
+from .request_records import Attempt, RequestRecord
 
 # s after an attempt was given up until a release is sent: the worker has seen the close by then, and a read
 # that ended at the same moment has left its state.
@@ -33,7 +33,7 @@
         workers: Workers,
         log: Log,
         limit: float,
-        expired: Callable[[Life], None],
+        expired: Callable[[RequestRecord], None],
     ) -> None:
         """`limit` = s for which a state may be held; `expired` hears of a request whose state is let go
         because its time is over."""
@@ -41,7 +41,7 @@
         self._workers, self.log = workers, log
         self._limit, self._expired = limit, expired
 
-    def watch(self, life: Life) -> None:
+    def watch(self, life: RequestRecord) -> None:
         """Come back when what may be held has to be let go, whether an attempt is out by then or not."""
         at = life.held.release_at
         if life.let_go is not None and life.let_go.at == at:
@@ -51,12 +51,12 @@
         if life.held.possible:
             life.let_go = self._deadlines.set(at, lambda: self._held_too_long(life))
 
-    def _held_too_long(self, life: Life) -> None:
+    def _held_too_long(self, life: RequestRecord) -> None:
         life.let_go = None
         self._expired(life)
         self.let_go(life)
 
-    def let_go(self, life: Life) -> None:
+    def let_go(self, life: RequestRecord) -> None:
         """Tell workers to let go of all that they hold for the request."""
         now = self._clock()
         due = life.held.due if life.held.possible else now + self._limit
@@ -75,13 +75,13 @@
         now = self._clock()
         self._workers.release(request_id, now, now + self._limit, lambda: None)
 
-    def end(self, life: Life) -> None:
+    def end(self, life: RequestRecord) -> None:
         """The request is over, and no attempt of it is out."""
         self._deadlines.cancel(life.let_go)
         if life.held.possible:
             self.let_go(life)
 
-    def read(self, life: Life, attempt: Attempt, begin: Callable[[], None]) -> bool:
+    def read(self, life: RequestRecord, attempt: Attempt, begin: Callable[[], None]) -> bool:
         """Keep a read back until earlier attempts' states are let go; whether `begin` will be called."""
         if not life.releases:
             return False
@@ -89,11 +89,11 @@
         self._deadlines.set(self._clock() + RELEASE_FIRST, partial(self._wait_no_longer, life, attempt))
         return True
 
-    def _wait_no_longer(self, life: Life, attempt: Attempt) -> None:
+    def _wait_no_longer(self, life: RequestRecord, attempt: Attempt) -> None:
         if attempt.live and life.waiting is not None:
             life.waiting()
 
-    def _confirmed(self, life: Life) -> None:
+    def _confirmed(self, life: RequestRecord) -> None:
         life.releases -= 1
         if not life.releases and life.waiting is not None:
             life.waiting()
--- a/yewhook/front.py
+++ b/yewhook/front.py
@@ -11,17 +11,17 @@
 
 from .config import Address, Names
 from .core.ending import Ending
-from .core.ports import Told, Workers
+from .core.ports import AttemptListener, Workers
 from .core.release_call import Candidate, Ranking
 from .core.router import Router
-from .levels.level import Vitals
+from .levels.level import ProcessHealth
 from .levels.settings import LevelsSettings, Mode
 from .liveness import Liveness
 from .loop import Loop, Timer
-from .operations.instance import Posture
+from .operations.instance import FrontMode
 from .releases import Ask, Releases
-from .service import Acceptor, Room, listen
-from .worker_list import Registry
+from .service import Acceptor, ResourceBudget, listen
+from .worker_list import WorkerList
 
 if TYPE_CHECKING:
     from .levels.governor import Governor
@@ -33,7 +33,7 @@
 # fewer others there are, the likelier that just now none of them serves. What is left of the grace is enough
 # for an answer to begin and for its stream to be moved.
 LAST_TAKEN = 1.5  # and never over half of the grace
-ROOM_STEP = 32  # idle connections closed at a time when sockets run out
+MAX_CLOSED_AT_ONCE = 32  # idle connections closed at a time when sockets run out
 IDLE_LEAST = 2.0  # s that a connection is left open on which nothing is asked, however short room is
 RANKING_KEPT = 5e-5  # s for each worker, for which a ranking of them is kept: some 40 times what it costs
 CLOSING_EVERY, CLOSING_IDLE = 0.1, 0.1  # s between looks while idle connections are closed; s of idleness
@@ -51,7 +51,7 @@
     def unread(self) -> bool:
         """Whether something has come on it that has not been read."""
 
-    def hang_up(self) -> None: ...
+    def close_gracefully(self) -> None: ...
 
 
 K = TypeVar("K", bound=ClientConnection)
@@ -63,24 +63,24 @@
     def __init__(self, loop: Loop, idle_most: float) -> None:
         self.loop, self._idle_most = loop, idle_most
         self.connections: set[K] = set()
-        self.posture = Posture(healthy=True, accepting=True, keeping=True, closing=False)
+        self.mode = FrontMode(healthy=True, accepting=True, keep_alive=True, close_idle=False)
         self.ending = False  # nothing that comes now could be finished any more: it is refused
         # Since when a connection that is accepted now may have waited to be.
-        self.waiting_since: Callable[[], float] = lambda: loop.looked_at
+        self.waiting_since: Callable[[], float] = lambda: loop.previous_poll_at
         self._sweeping = Timer(loop)
         self._sweep()
 
     def accepted(self, sock: socket.socket) -> None:
         raise NotImplementedError
 
-    def make_room(self) -> None:
+    def free_connections(self) -> None:
         """Close connections that are needed least: here, those that have been idle for longest."""
         idle = sorted(self._idle(IDLE_LEAST), key=lambda connection: connection.idle_since)
-        for connection in idle[:ROOM_STEP]:
-            connection.hang_up()
+        for connection in idle[:MAX_CLOSED_AT_ONCE]:
+            connection.close_gracefully()
 
-    def take(self, posture: Posture) -> None:
-        self.posture = posture
+    def set_mode(self, mode: FrontMode) -> None:
+        self.mode = mode
         self._sweep()
 
     def _idle(self, least: float) -> list[K]:
@@ -92,17 +92,17 @@
         """Refuse what still comes: the process is about to go."""
         self.ending = True
         for connection in self._idle(0.0):
-            connection.hang_up()
+            connection.close_gracefully()
 
     def _sweep(self) -> None:
         """While they are closed, one that has just been opened has a moment for its request to come."""
-        closing = self.posture.closing
+        closing = self.mode.close_idle
         for connection in self._idle(CLOSING_IDLE if closing else self._idle_most):
-            connection.hang_up()
+            connection.close_gracefully()
         self._sweeping.set(CLOSING_EVERY if closing else 1.0, self._sweep)
 
 
-class Out(Protocol):
+class PendingAttempt(Protocol):
     """One attempt that is out at a worker."""
 
     request_id: str
@@ -121,17 +121,17 @@
         """Whether a byte of it may be on its way."""
 
 
-O = TypeVar("O", bound=Out)  # noqa: E741
+O = TypeVar("O", bound=PendingAttempt)  # noqa: E741
 Release = Callable[[str, float, float, Callable[[], None]], None]  # of a request, from a time on, by another
 
 
-class AttemptsOut(Generic[O]):
+class PendingAttempts(Generic[O]):
     """The attempts that are out, and what the core asks of them on any front."""
 
-    told: Told
+    listener: AttemptListener
 
-    def __init__(self, loop: Loop, registry: Registry, release: Release) -> None:
-        self.loop, self._registry = loop, registry
+    def __init__(self, loop: Loop, worker_list: WorkerList, release: Release) -> None:
+        self.loop, self._worker_list = loop, worker_list
         self._release = release
         self._out: dict[tuple[str, int], O] = {}
 
@@ -139,14 +139,14 @@
         """Begin an attempt at a server's address; where there is no connection, that is its end."""
         self._out[out.request_id, out.number] = out
         try:
-            begin(self._registry.addresses[server])
+            begin(self._worker_list.addresses[server])
         except (OSError, KeyError) as error:
             self.loop.log("no connection to a worker", f"{server}: {error}")
             self.end(out, Ending.NO_SOCKET)
 
     def end(self, out: O, ending: Ending, note: int = 0, load: i.Load | None = None) -> None:
         if self._out.pop((out.request_id, out.number), None) is not None:
-            self.told.ended(out.request_id, out.number, ending, note, load)
+            self.listener.ended(out.request_id, out.number, ending, note, load)
 
     def abort(self, request_id: str, attempt: int) -> bool:
         out = self._out.pop((request_id, attempt), None)
@@ -167,26 +167,26 @@
         self._release(request_id, begin_at, due, done)
 
     def forget(self, server: int) -> None:
-        self._registry.forget(server)
+        self._worker_list.forget(server)
 
     def pause(self, request_id: str, attempt: int, paused: bool) -> None:
         if (out := self._out.get((request_id, attempt))) is not None:
             out.pause(paused)
 
 
-class TellingWorkers(Workers, Protocol):
-    told: Told
+class ListenedWorkers(Workers, Protocol):
+    listener: AttemptListener
 
 
 class RouterFront:
-    whose = ""  # clients, in a word
+    front_name = ""  # clients, in a word
 
     def __init__(self, loop: Loop, settings: i.Settings, names: Names, ask: Ask, liveness: Liveness) -> None:
         self.loop, self._settings, self._liveness = loop, settings, liveness
         self.grace = min(GRACE_MOST, max(c.patience for c in settings.classes))
         others = max(1, settings.instances - 1)
-        self.lasts = min(LAST_TAKEN, self.grace / 2) / others if settings.may_resume else 0.0
-        self.registry = Registry(names, time.monotonic() - time.time(), loop.log)
+        self.accept_after_term = min(LAST_TAKEN, self.grace / 2) / others if settings.may_resume else 0.0
+        self.worker_list = WorkerList(names, time.monotonic() - time.time(), loop.log)
         self.releases = Releases(loop, ask, self._ranked_workers)
         self._ranking, self._ranked_until = Ranking(()), loop.now
         self._governor: Governor | None = None
@@ -201,9 +201,9 @@
 
     def _release_candidates(self) -> list[Candidate]:
         """The workers that run, those told to drain among them: any of them takes a release."""
-        addresses, servers, liveness = self.registry.addresses, self.router.servers, self._liveness
+        addresses, servers, liveness = self.worker_list.addresses, self.router.servers, self._liveness
         candidates = []
-        for number, state in self.registry.states.items():
+        for number, state in self.worker_list.states.items():
             address, server = addresses.get(number), servers.get(number)
             if address is None or state is i.ServerState.GONE:
                 continue
@@ -213,20 +213,20 @@
             candidates.append(Candidate(address, group, heard, missed, draining))
         return candidates
 
-    def route(self, workers: TellingWorkers, seed: int) -> None:
+    def route(self, workers: ListenedWorkers, seed: int) -> None:
         """Give the front its router."""
         self._seed = seed
         self.router = Router(
             self._settings, seed, self.loop.deadlines, lambda: self.loop.now, workers, self.loop.log
         )
-        workers.told = self.router
+        workers.listener = self.router
         self.loop.deciders.append(self.router)
 
     def open(
         self,
         clients: ClientConnections[Any],
         address: Address,
-        room: Room,
+        room: ResourceBudget,
         whose: str,
         listener: socket.socket | None = None,
     ) -> None:
@@ -234,13 +234,15 @@
         self._clients = clients
         listener = listener or listen(address)
         self.port: int = listener.getsockname()[1]
-        self._acceptor = Acceptor(self.loop, listener, room.for_clients, clients.make_room, clients.accepted)
+        self._acceptor = Acceptor(
+            self.loop, listener, room.for_clients, clients.free_connections, clients.accepted
+        )
         clients.waiting_since = lambda: self._acceptor.waiting_since
         self.loop.log("serving", f"{whose} clients on {address[0]}:{self.port}")
 
     @property
-    def able(self) -> bool:
-        return bool(self.registry.running())
+    def has_workers(self) -> bool:
+        return bool(self.worker_list.running())
 
     @property
     def busy(self) -> bool:
@@ -250,7 +252,7 @@
         raise NotImplementedError
 
     @property
-    def register_age(self) -> float:
+    def discovery_age(self) -> float:
         """s since the last word of whoever lists the workers."""
         raise NotImplementedError
 
@@ -260,38 +262,38 @@
         return self._governor if self._governor is self.router.governor else None
 
     def set_levels(
-        self, settings: LevelsSettings, vitals: Callable[[], Vitals], changed: Callable[[Change], None]
+        self, settings: LevelsSettings, vitals: Callable[[], ProcessHealth], changed: Callable[[Change], None]
     ) -> None:
         """Put settings of the levels of service in force, at the start or while it runs."""
         levels = self.levels
         if settings.mode is Mode.OFF:
             if levels is not None:
-                self.router.govern(None)
+                self.router.set_governor(None)
         elif levels is None:
             from .levels.governor import Governor  # where they are off, nothing is paid for them
 
-            def seen() -> Vitals:
-                return vitals()._replace(register_age=self.register_age)
+            def seen() -> ProcessHealth:
+                return vitals()._replace(discovery_age=self.discovery_age)
 
             self._governor = Governor(
                 self._settings, settings, self._seed, self.loop.now, seen, changed, self.recovery
             )
-            self.router.govern(self._governor)
+            self.router.set_governor(self._governor)
         else:
             levels.configure(settings, self.loop.now)
 
-    def take(self, posture: Posture) -> None:
-        if posture.leaving:
+    def set_mode(self, mode: FrontMode) -> None:
+        if mode.shutting_down:
             self._acceptor.stop()
-        self._acceptor.pause(not posture.accepting)
-        self._clients.take(posture)
+        self._acceptor.pause(not mode.accepting)
+        self._clients.set_mode(mode)
 
-    def thin_out(self, part: float) -> None:
-        self.router.thin_out(part)
+    def move_streams(self, part: float) -> None:
+        self.router.move_streams(part)
 
-    def break_off(self) -> None:
+    def end_all(self) -> None:
         self._clients.end()
-        self.router.break_off()
+        self.router.end_all()
 
     def close(self) -> None:
         """Nothing else is left open."""
--- a/yewhook/jsonrpc.py
+++ b/yewhook/jsonrpc.py
@@ -49,15 +49,15 @@
         return {"code": int(self.code), "message": self.message} | data
 
 
-class Lost(RpcError):
+class ConnectionLost(RpcError):
     """The connection ended with the request unanswered; `sent` = its last byte had been written."""
 
     def __init__(self, sent: bool, connected: bool, clean: bool) -> None:
         super().__init__(Code.INTERNAL_ERROR, "the connection ended")
-        self.sent, self.connected, self.clean = sent, connected, clean
+        self.sent, self.connected, self.closed_cleanly = sent, connected, clean
 
 
-class Late(RpcError):
+class RequestTimedOut(RpcError):
     """The request's deadline passed."""
 
     def __init__(self) -> None:
@@ -101,10 +101,10 @@
     def __init__(self, loop: Loop, handler: Handler) -> None:
         self.loop, self.handler = loop, handler
         self.channel: Channel
-        self.up, self._up_within = False, 0.0  # s that a connection of ours may take
+        self.is_connected, self._up_within = False, 0.0  # s that a connection of ours may take
         self.address: Address = ("", 0)
         self.idle_since = 0.0
-        self.open: set[Id] = set()  # the peer's requests that wait for their answer
+        self.open_requests: set[Id] = set()  # the peer's requests that wait for their answer
         self._asked: dict[Id, _Asked] = {}
         self._ids = itertools.count(1)
         self._rest = b""
@@ -125,13 +125,13 @@
     def accepted(cls, loop: Loop, sock: socket.socket, handler: Handler) -> Peer:
         """One end of a connection that the other side has opened."""
         peer = cls(loop, handler)
-        peer.up, peer.idle_since = True, loop.now
+        peer.is_connected, peer.idle_since = True, loop.now
         peer.channel = Channel(loop, sock, peer)
         return peer
 
-    def hurry(self, within: float) -> None:
+    def limit_connect_time(self, within: float) -> None:
         """Give up a connection that is not up in so many s, though it may take longer otherwise."""
-        if not self.up and within < self._up_within:
+        if not self.is_connected and within < self._up_within:
             self._timer.set(within, self._drop)
 
     def _drop(self) -> None:
@@ -142,7 +142,7 @@
     @property
     def idle(self) -> bool:
         """Whether the peer has nothing open, and nothing on its way."""
-        return not self.open and not self._rest
+        return not self.open_requests and not self._rest
 
     @property
     def unread(self) -> bool:
@@ -150,7 +150,7 @@
 
     @property
     def written(self) -> bool:
-        return self.up and self.channel.written
+        return self.is_connected and self.channel.written
 
     # ---- asking ----
 
@@ -175,18 +175,18 @@
     def _late(self, request_id: Id) -> None:
         if (asked := self._asked.get(request_id)) is not None:
             self.cancel(request_id, "timed out")
-            asked.reply(None, Late())
+            asked.reply(None, RequestTimedOut())
 
     # ---- answering ----
 
     def result(self, request_id: Id, result: Any) -> None:
-        self.open.discard(request_id)
+        self.open_requests.discard(request_id)
         self.idle_since = self.loop.now
         self._send({"id": request_id, "result": result})
 
     def error(self, request_id: Id | None, error: RpcError) -> None:
         if request_id is not None:
-            self.open.discard(request_id)
+            self.open_requests.discard(request_id)
         self._send({"id": request_id, "error": error.as_object()})
 
     def _send(self, message: dict[str, Any]) -> None:
@@ -200,7 +200,7 @@
     # ---- the channel ----
 
     def connected(self) -> None:
-        self.up = True
+        self.is_connected = True
         self._timer.cancel()
 
     def drained(self) -> None:
@@ -223,9 +223,9 @@
 
     def _cut_off(self, why: str) -> None:
         self.error(None, RpcError(Code.INVALID_REQUEST, why))
-        self.hang_up()
+        self.close_gracefully()
 
-    def hang_up(self) -> None:
+    def close_gracefully(self) -> None:
         """Write what is left and close; the handler hears that the peer is gone."""
         if not self.channel.closed:
             self.channel.finish()
@@ -245,7 +245,7 @@
         asked, self._asked = self._asked, {}
         for one in asked.values():
             self.loop.deadlines.cancel(one.timer)
-            one.reply(None, Lost(self.written, self.up, clean))
+            one.reply(None, ConnectionLost(self.written, self.is_connected, clean))
         self.handler.gone(self)
 
     def _line(self, line: bytes) -> None:
@@ -269,15 +269,15 @@
             return None
         if not isinstance(request_id, str | int):
             return self.error(None, RpcError(Code.INVALID_REQUEST, "id must be text or a whole number"))
-        if request_id in self.open:
+        if request_id in self.open_requests:
             # Answering under this id would end the request that is open under it.
             return self.error(None, RpcError(Code.INVALID_REQUEST, f"id {request_id!r} is in use"))
         try:
             if not isinstance(params, dict):
                 raise RpcError(Code.INVALID_PARAMS, "params must be an object")
-            if len(self.open) >= OPEN_LIMIT:
+            if len(self.open_requests) >= OPEN_LIMIT:
                 raise RpcError(Code.REFUSED, "too many requests open on this connection")
-            self.open.add(request_id)
+            self.open_requests.add(request_id)
             self.handler.request(self, request_id, method, params)
         except RpcError as error:
             self.error(request_id, error)
--- a/yewhook/levels/admission.py
+++ b/yewhook/levels/admission.py
@@ -13,24 +13,29 @@
 
 from .fairness import max_min
 from .level import Level
-from .turns import Kind, Standing
+from .turns import Kind, RefusalLoss
 
 # What refusing a turn loses besides its own worth, as a factor on that: a stream that comes back loses what
 # was answered, a session under way the text kept for it; a repeat has lost its aim once before.
-LOSS = {Standing.BACK: 4.0, Standing.UNDER_WAY: 1.5, Standing.NEW: 1.0, Standing.REPEAT: 0.5}
+LOSS = {
+    RefusalLoss.RESUMED_STREAM: 4.0,
+    RefusalLoss.OPEN_SESSION: 1.5,
+    RefusalLoss.NEW_SESSION: 1.0,
+    RefusalLoss.CLIENT_RETRY: 0.5,
+}
 Shares = Mapping[Kind, float]
 
 
 def first_level(kind: Kind, top: frozenset[int]) -> Level | None:
     """The best level at which a kind may give way; None for what none refuses."""
-    if kind.standing is Standing.BACK:
+    if kind.refusal_loss is RefusalLoss.RESUMED_STREAM:
         return None
-    if kind.over or kind.standing is Standing.REPEAT:
+    if kind.over_share or kind.refusal_loss is RefusalLoss.CLIENT_RETRY:
         return Level.GUARDED
     if kind.cls not in top:
-        if kind.long and kind.standing is Standing.NEW:
+        if kind.long and kind.refusal_loss is RefusalLoss.NEW_SESSION:
             return Level.THRIFTY
-        return Level.ESSENTIAL if kind.standing is Standing.NEW else Level.LAST_RESORT
+        return Level.ESSENTIAL if kind.refusal_loss is RefusalLoss.NEW_SESSION else Level.LAST_RESORT
     return Level.LAST_RESORT
 
 
@@ -38,7 +43,7 @@
     """What a unit of its work is worth: its class's worth, by how much of it is answered late at present."""
     cls = settings.classes[kind.cls]
     worth = cls.worth * (1.0 - late + late * cls.late_worth)
-    return worth * (settings.over_share_worth if kind.over else 1.0) * LOSS[kind.standing]
+    return worth * (settings.over_share_worth if kind.over_share else 1.0) * LOSS[kind.refusal_loss]
 
 
 def admit(
@@ -76,7 +81,7 @@
         if first is not None and first <= level:
             order.append((first, value(kind, settings, late), kind))
     for first, _, kind in sorted(order):
-        refused = level >= Level.THRIFTY and first is Level.GUARDED and kind.over
+        refused = level >= Level.THRIFTY and first is Level.GUARDED and kind.over_share
         if kinds[kind] <= 0:
             shares[kind] = 0.0 if refused else 1.0
             continue
--- a/yewhook/levels/capacity.py
+++ b/yewhook/levels/capacity.py
@@ -26,12 +26,12 @@
         self._usable = 0.0
 
     def sent(self, work: float, now: float) -> None:
-        self._work.bump(work, now, SPAN)
+        self._work.add(work, now, SPAN)
 
     def look(self, busy: float, usable: float, now: float) -> None:
         """At this moment so many servers are usable, and so much of them is in use."""
         if self._looked is not None:
-            self._use.bump(min(busy, BUSY_MOST) * usable * (now - self._looked), now, SPAN)
+            self._use.add(min(busy, BUSY_MOST) * usable * (now - self._looked), now, SPAN)
         self._looked, self._usable = now, usable
 
     def paused(self) -> None:
@@ -40,10 +40,10 @@
 
     def can(self, now: float) -> float | None:
         """Work a second that could be done; None while too little is known."""
-        use = self._use.faded(now, SPAN)
+        use = self._use.decayed(now, SPAN)
         if use < ENOUGH:
             return None
-        return self._work.faded(now, SPAN) / use * self._usable
+        return self._work.decayed(now, SPAN) / use * self._usable
 
 
 class Capacity:
--- a/yewhook/levels/discovery_health.py
+++ b/yewhook/levels/discovery_health.py
@@ -10,7 +10,7 @@
 FOR = frozenset({Outcome.OK, Outcome.READ, Outcome.FULL})
 
 
-class Register:
+class DiscoveryHealth:
     """No more is kept than a time for each server that is running by the list."""
 
     def __init__(self) -> None:
--- a/yewhook/levels/estimators.py
+++ b/yewhook/levels/estimators.py
@@ -19,11 +19,11 @@
     sum: Estimate = field(default_factory=Estimate)
 
     def add(self, amount: float, now: float) -> None:
-        self.sum.bump(amount, now, self.constant)
+        self.sum.add(amount, now, self.constant)
 
     def at(self, now: float) -> float:
         seen = 1.0 - math.exp((self.began - now) / self.constant)
-        return self.sum.faded(now, self.constant) / (self.constant * seen) if seen > 0 else 0.0
+        return self.sum.decayed(now, self.constant) / (self.constant * seen) if seen > 0 else 0.0
 
 
 @dataclass(slots=True)
@@ -31,19 +31,21 @@
     """Part of what came that is counted, fading; 0 while less has come lately than `least`."""
 
     constant: float
-    least: float
+    min_total: float
     counted: Estimate = field(default_factory=Estimate)
     all: Estimate = field(default_factory=Estimate)
 
     def add(self, amount: float, counts: bool, now: float) -> None:
-        self.all.bump(amount, now, self.constant)
+        self.all.add(amount, now, self.constant)
         if counts:
-            self.counted.bump(amount, now, self.constant)
+            self.counted.add(amount, now, self.constant)
 
     def at(self, now: float) -> float:
-        whole = self.all.faded(now, self.constant)
+        whole = self.all.decayed(now, self.constant)
         # What has come lately is too little to judge by: it is held against the least instead.
-        return min(1.0, self.counted.faded(now, self.constant) / max(whole, self.least)) if whole else 0.0
+        return (
+            min(1.0, self.counted.decayed(now, self.constant) / max(whole, self.min_total)) if whole else 0.0
+        )
 
 
 @dataclass(slots=True)
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -14,17 +14,17 @@
 from .admission import admit
 from .capacity import Capacity
 from .demand import Demand
-from .discovery_health import Register
+from .discovery_health import DiscoveryHealth
 from .estimators import Mean, Quantiles, Rate, Share
 from .ladder import PAUSE, Change, Ladder, Pin
-from .level import MEANING, Level, Signals, Vitals
+from .level import LEVEL_DESCRIPTIONS, Level, ProcessHealth, Signals
 from .settings import LevelsSettings, Mode
-from .turns import Kind, Standing, Turn, Turns, top_classes
+from .turns import Kind, RefusalLoss, Turn, Turns, top_classes
 
 if TYPE_CHECKING:
     from ..recovery.recovery import Recovery
 
-LOOK = 0.25  # s between looks
+EVALUATION_INTERVAL_S = 0.25  # s between looks
 LATE_SPAN, WAIT_SPAN, LOST_SPAN, DONE_SPAN = 5.0, 3.0, 10.0, 20.0  # s; time constants
 WAITS_LEAST = 4.0  # waits seen lately, below which they say nothing
 LOAD_MOST = 10.0  # whatever more there is
@@ -51,7 +51,7 @@
         levels: LevelsSettings,
         seed: int,
         now: float,
-        vitals: Callable[[], Vitals] = Vitals,
+        vitals: Callable[[], ProcessHealth] = ProcessHealth,
         changed: Callable[[Change], None] = lambda change: None,
         recovery: Recovery | None = None,
     ) -> None:
@@ -61,7 +61,7 @@
         self.signals = Signals()
         self._turns = Turns(settings, levels.long_turn)
         self._demand = Demand(settings, now)
-        self._register = Register()
+        self._register = DiscoveryHealth()
         self._late = Share(LATE_SPAN, 0.0)
         self._late_by_class = [Share(LATE_SPAN, 0.0) for _ in settings.classes]
         self._lost = Share(LOST_SPAN, 3.0)
@@ -86,7 +86,7 @@
             self._look(now, sight(now))
             out += self._tell(now)
             if self.recovery is not None:
-                out += self.recovery.hints()
+                out += self.recovery.warm_rates()
         for event in events:
             out.append(self._hear(event, now))
         return out
@@ -114,13 +114,13 @@
         self._shares = [{} for _ in range(self._demand.tenants)]
         self._waits = Quantiles(WAIT_SPAN)
         self._capacity.paused()
-        self._next = now + LOOK
+        self._next = now + EVALUATION_INTERVAL_S
 
     # ---- what is heard ----
 
     def _hear(self, event: i.Event, now: float) -> i.Event:
         if self.recovery is not None:
-            self.recovery.hear(event, now)
+            self.recovery.observe(event, now)
         if isinstance(event, i.RequestArrived):
             return self._arrived(event, now)
         if isinstance(event, i.StreamStarted):
@@ -158,7 +158,7 @@
         if entry is None:
             return
         if event.outcome is Outcome.READ:
-            under_way = entry.turn.kind.standing is Standing.UNDER_WAY
+            under_way = entry.turn.kind.refusal_loss is RefusalLoss.OPEN_SESSION
             self._turns.read(entry.turn.kind.cls, under_way, entry.prompt, event.note)
         if entry.first is not None:
             whole = event.outcome is Outcome.OK
@@ -195,7 +195,7 @@
     # ---- looks ----
 
     def _look(self, now: float, sight: dict[Role, i.RoleUsage]) -> None:
-        self._next = now + LOOK
+        self._next = now + EVALUATION_INTERVAL_S
         for rid in [rid for rid, entry in self._open.items() if entry.until < now and entry.first is None]:
             del self._open[rid]
         self.signals = self._judge(now, sight)
@@ -228,13 +228,13 @@
             (now - e.turn.arrived) / e.turn.aim for e in self._open.values() if not e.sent and e.turn.aim > 0
         ]
         waiting = max(self._waits.at(0.9, now, WAITS_LEAST), 0.0 if len(held) < WAITS_LEAST else min(held))
-        self._late.least = 2.0 * self._mean_worth.known(1.0)
+        self._late.min_total = 2.0 * self._mean_worth.known(1.0)
         return Signals(
             load=self._load(now),
             late=self._late.at(now),
             waiting=waiting,
             missing=missing,
-            doubt=self._register.doubt(now, vitals.register_age),
+            doubt=self._register.doubt(now, vitals.discovery_age),
             lost=self._lost.at(now),
             descriptors=vitals.descriptors,
             memory=vitals.memory,
@@ -285,7 +285,7 @@
             self._changed(change)
         self._next = now
 
-    def usual(self, now: float) -> float:
+    def turn_rate(self, now: float) -> float:
         """Turns a second that this router sends on, over a longer while."""
         return self._done.at(now)
 
@@ -296,7 +296,7 @@
         return {
             "mode": self.levels.mode.value,
             "level": level.label,
-            "meaning": MEANING[level],
+            "meaning": LEVEL_DESCRIPTIONS[level],
             "since_s": round(now - self.ladder.since, 1),
             "signals": {name: round(self.signals.value(name), 3) for name in self.signals.__slots__},
             "late_by_class": [round(share.at(now), 3) for share in self._late_by_class],
--- a/yewhook/levels/level.py
+++ b/yewhook/levels/level.py
@@ -27,7 +27,7 @@
         return {level.label: level for level in cls}[label]
 
 
-MEANING = {
+LEVEL_DESCRIPTIONS = {
     Level.FULL: "nothing gives way",
     Level.GUARDED: "traffic beyond a client's share and clients' own repeats give way, as far as load asks",
     Level.THRIFTY: "work beyond a share is refused; long turns of the lesser classes give way as far as load "
@@ -38,12 +38,12 @@
 }
 
 
-class Vitals(NamedTuple):
+class ProcessHealth(NamedTuple):
     """What the process knows of itself and of the register; parts of limits, and seconds."""
 
     descriptors: float = 0.0
     memory: float = 0.0
-    register_age: float = 0.0
+    discovery_age: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/yewhook/levels/turns.py
+++ b/yewhook/levels/turns.py
@@ -19,19 +19,19 @@
 SESSION_SPAN = 60.0  # s for which a session counts as under way, at least
 
 
-class Standing(IntEnum):
+class RefusalLoss(IntEnum):
     """What refusing a turn now would lose, the most first."""
 
-    BACK = 0  # the rest of a stream that broke: all that was answered
-    UNDER_WAY = 1  # a session's further turn: the text that is kept for it
-    NEW = 2
-    REPEAT = 3  # the client's own repeat: nothing that was not lost before
+    RESUMED_STREAM = 0  # the rest of a stream that broke: all that was answered
+    OPEN_SESSION = 1  # a session's further turn: the text that is kept for it
+    NEW_SESSION = 2
+    CLIENT_RETRY = 3  # the client's own repeat: nothing that was not lost before
 
 
 class Kind(NamedTuple):
     cls: int
-    standing: Standing
-    over: bool  # beyond its client's share
+    refusal_loss: RefusalLoss
+    over_share: bool  # beyond its client's share
     long: bool  # far more work than its class's mean
 
 
@@ -62,12 +62,12 @@
         under_way = self._sessions.seen(ev.session, now)
         work = self._work_of(ev, under_way)
         mean = self._work[ev.cls]
-        over = self._quotas.over(ev.tenant, now)
+        over = self._quotas.over_quota(ev.tenant, now)
         kind = Kind(ev.cls, self._standing(ev, under_way), over, self._long(work, mean))
         mean.add(work)
         cls = self.settings.classes[ev.cls]
         worth = cls.worth * (work if self.settings.worth_by_work else 1.0)
-        worth *= self.settings.over_share_worth if kind.over else 1.0
+        worth *= self.settings.over_share_worth if kind.over_share else 1.0
         tenant = min(ev.tenant, max(0, len(self.settings.tenants) - 1))
         return Turn(kind, tenant, work, worth, cls.aim_of(ev.prompt_tokens), now, ev.repeat)
 
@@ -75,12 +75,12 @@
         return mean.count > 0 and work > self.long_turn * mean.value
 
     @staticmethod
-    def _standing(ev: RequestArrived, under_way: bool) -> Standing:
+    def _standing(ev: RequestArrived, under_way: bool) -> RefusalLoss:
         if ev.resumed:
-            return Standing.BACK
+            return RefusalLoss.RESUMED_STREAM
         if under_way:
-            return Standing.UNDER_WAY
-        return Standing.REPEAT if ev.repeat else Standing.NEW
+            return RefusalLoss.OPEN_SESSION
+        return RefusalLoss.CLIENT_RETRY if ev.repeat else RefusalLoss.NEW_SESSION
 
     def _work_of(self, ev: RequestArrived, under_way: bool) -> float:
         answer = min(self._answer[ev.cls].known(ev.max_tokens / 2.0), ev.max_tokens or 1e9)
--- a/yewhook/liveness.py
+++ b/yewhook/liveness.py
@@ -14,11 +14,11 @@
         self._heard: dict[Address, float] = {}
         self._missed: dict[Address, float] = {}
 
-    def hear(self, address: Address, now: float) -> None:
+    def record_heard(self, address: Address, now: float) -> None:
         """Something has come from there."""
         self._heard[address] = now
 
-    def miss(self, address: Address, now: float) -> None:
+    def record_missed(self, address: Address, now: float) -> None:
         """No connection or no answer came in the time that it was given."""
         self._missed[address] = now
 
--- a/yewhook/load_reports.py
+++ b/yewhook/load_reports.py
@@ -14,7 +14,7 @@
         "err_rps": "eps"}  # fmt: skip
 
 
-def parse(text: str | bytes) -> Any:
+def parse_json(text: str | bytes) -> Any:
     """JSON from outside; None for what can't be read, however it is malformed."""
     try:
         return json.loads(text)
@@ -27,12 +27,12 @@
     return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < MOST
 
 
-def count(value: Any) -> int:
+def token_count(value: Any) -> int:
     """A number of tokens that a worker states; 0 where it states none."""
     return int(value) if is_figure(value) else 0
 
 
-def load(raw: Any, columns: tuple[str, ...]) -> i.Load | None:
+def parse_load(raw: Any, columns: tuple[str, ...]) -> i.Load | None:
     """A report under the names of the settings' columns; None where it can't be read."""
     if not isinstance(raw, dict):
         return None
--- a/yewhook/log.py
+++ b/yewhook/log.py
@@ -13,7 +13,7 @@
 BURST, SPAN = 10, 10.0  # lines of one event in so many seconds
 
 
-class Form(Enum):
+class LogFormat(Enum):
     CONSOLE = "console"  # for people
     JSON = "json"  # one object a line, for what collects logs
 
@@ -56,8 +56,8 @@
         return f"{stamp} {record.name} {record.msg}{': ' + detail if detail else ''}"
 
 
-def _formatter(form: Form) -> logging.Formatter:
-    if form is Form.CONSOLE:
+def _formatter(form: LogFormat) -> logging.Formatter:
+    if form is LogFormat.CONSOLE:
         return Console()
     from pythonjsonlogger.json import JsonFormatter  # only those who ask for JSON pay for it
 
@@ -80,13 +80,13 @@
     """`event` names what happened, in fixed words that the on-call page lists; `detail` says the rest, and
     `figures` are what machines read of it."""
 
-    def __init__(self, name: str, form: Form = Form.CONSOLE, detailed: bool = False) -> None:
+    def __init__(self, name: str, form: LogFormat = LogFormat.CONSOLE, detailed: bool = False) -> None:
         """`detailed` = write each step of each request, too, and every line of each event."""
         self.name, self.detailed = name, detailed
         self._handler, self._limit = _Stderr(), RateLimit()
-        self.use(form)
+        self.set_format(form)
 
-    def use(self, form: Form) -> None:
+    def set_format(self, form: LogFormat) -> None:
         """Write in this form from now on."""
         self._handler.setFormatter(_formatter(form))
 
--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -10,7 +10,7 @@
 
 from .deadlines import Deadline, Deadlines
 from .log import Log
-from .transient_errors import insist
+from .transient_errors import retry_transient
 
 Handler = Callable[[int], None]
 LONG_TURN = 0.1  # s; a turn that takes longer is logged: nothing else is heard meanwhile
@@ -33,14 +33,16 @@
     def __init__(self, log: Log, clock: Callable[[], float] = time.monotonic) -> None:
         self.log, self._clock = log, clock
         self.deadlines = Deadlines()
-        self.gatherers: list[Callable[[], None]] = []  # what is looked at in each turn and wakes nobody
+        self.pollers: list[Callable[[], None]] = []  # what is looked at in each turn and wakes nobody
         self.deciders: list[Turn] = []
         self.stopped = False
-        self.now = self.looked_at = clock()  # of this turn's look at the files, and of the one before it
+        self.now = self.previous_poll_at = (
+            clock()
+        )  # of this turn's look at the files, and of the one before it
         self.sockets = 0  # open ones that this process holds, as their owners count them
         self.accepted = 0  # those of them that others have opened
         self.finishing = 0  # those of them whose last bytes are still on their way
-        self._selector = insist(selectors.DefaultSelector)
+        self._selector = retry_transient(selectors.DefaultSelector)
         self._first: set[int] = set()  # files that are heard before all others
 
     def watch(self, sock: HasFile, events: int, handler: Handler, first: bool = False) -> None:
@@ -72,14 +74,14 @@
         if (due := self.deadlines.next()) is not None:
             waits.append(max(0.0, due - self._clock()))
         ready = self._selector.select(min(waits, default=None))
-        self.looked_at, self.now = self.now, self._clock()
+        self.previous_poll_at, self.now = self.now, self._clock()
         if self._first:
             ready.sort(key=lambda heard: heard[0].fd not in self._first)
         for key, mask in ready:
             if self._selector.get_map().get(key.fd) is key:  # an earlier handler may have closed it
                 self._guard(lambda key=key, mask=mask: key.data(mask))  # type: ignore[misc]
         heard = self._clock()
-        for call in (*self.deadlines.due(self.now), *self.gatherers):
+        for call in (*self.deadlines.due(self.now), *self.pollers):
             self._guard(call)
         timed = self._clock()
         again = any([decider.turn(self.now) for decider in self.deciders])
--- a/yewhook/operations/handover_encoding.py
+++ b/yewhook/operations/handover_encoding.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from hopshed import interface as i
-from hopshed.handover import Knowledge
+from hopshed.handover import LearnedState
 
 from ..config import Address
 
-FORM = 1  # a process reads its own form and no other
+FORMAT_VERSION = 1  # a process reads its own form and no other
 NAME = b"yewhook-handover"
 
 
-class FormError(Exception):
+class DecodeError(Exception):
     """Why a hand-over is passed over."""
 
 
@@ -38,11 +38,11 @@
     address: Address | None
 
 
-def listed(servers: Iterable[tuple[i.Server, Address | None]]) -> list[Listed]:
+def to_listed(servers: Iterable[tuple[i.Server, Address | None]]) -> list[Listed]:
     return [Listed(s.id, s.kind, s.zone, s.cell, s.state, s.started, s.weight, place) for s, place in servers]
 
 
-def servers(entries: Iterable[Listed]) -> list[tuple[i.Server, Address | None]]:
+def from_listed(entries: Iterable[Listed]) -> list[tuple[i.Server, Address | None]]:
     return [
         (i.Server(e.id, e.kind, e.zone, e.cell, e.state, e.started, e.weight), e.address) for e in entries
     ]
@@ -55,41 +55,41 @@
     generation: int  # of the list
     servers: list[Listed]
     told_off: dict[int, float]  # server -> since when it is told to drain or be gone
-    module: Knowledge
+    module: LearnedState
 
 
 T = TypeVar("T")
 
 
-def seal(name: bytes, content: object) -> bytes:
+def encode_checked(name: bytes, content: object) -> bytes:
     body = msgspec.msgpack.encode(content)
-    return b"%s %d %d %08x\n" % (name, FORM, len(body), zlib.crc32(body)) + body
+    return b"%s %d %d %08x\n" % (name, FORMAT_VERSION, len(body), zlib.crc32(body)) + body
 
 
-def unseal(name: bytes, what: str, data: bytes, kind: type[T]) -> T:
-    """`what` = that name for operators. Raises FormError where it is not whole, not of this name, or of
+def decode_checked(name: bytes, what: str, data: bytes, kind: type[T]) -> T:
+    """`what` = that name for operators. Raises DecodeError where it is not whole, not of this name, or of
     another form."""
     head, _, body = data.partition(b"\n")
     words = head.split(b" ")
     if len(words) != 4 or words[0] != name:
-        raise FormError(f"not a {what}")
-    if words[1] != b"%d" % FORM:
-        raise FormError(f"of form {words[1].decode('latin-1')[:9]}, and {FORM} is read here")
+        raise DecodeError(f"not a {what}")
+    if words[1] != b"%d" % FORMAT_VERSION:
+        raise DecodeError(f"of form {words[1].decode('latin-1')[:9]}, and {FORMAT_VERSION} is read here")
     if words[2] != b"%d" % len(body) or words[3] != b"%08x" % zlib.crc32(body):
-        raise FormError("torn or damaged")
+        raise DecodeError("torn or damaged")
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except msgspec.MsgspecError as error:
-        raise FormError(str(error)) from error
+        raise DecodeError(str(error)) from error
 
 
 def pack(content: HandOver) -> bytes:
-    return seal(NAME, content)
+    return encode_checked(NAME, content)
 
 
 def unpack(data: bytes, now: float) -> HandOver:
-    """Raises FormError where it can't be read, or is not of this machine's present."""
-    content = unseal(NAME, "hand-over", data, HandOver)
+    """Raises DecodeError where it can't be read, or is not of this machine's present."""
+    content = decode_checked(NAME, "hand-over", data, HandOver)
     if content.at > now:
-        raise FormError("written on another clock")
+        raise DecodeError("written on another clock")
     return content
--- a/yewhook/operations/hot_restart.py
+++ b/yewhook/operations/hot_restart.py
@@ -7,49 +7,49 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-from ..service import Room, Service
-from .handover_encoding import FormError, HandOver, pack, unpack
+from ..service import ResourceBudget, Service
+from .handover_encoding import DecodeError, HandOver, pack, unpack
 from .instance import Event, Instance, State
-from .process_files import Line
-from .process_neighbours import LOOK_EVERY, RENEW, Neighbours, Sight
+from .process_files import ProcessFiles
+from .process_neighbours import LOOK_EVERY, RENEW, Neighbours, NeighbourStatus
 
 HAND_OVER_WAIT = 0.6  # s for the predecessor to see this process and to tell it what it knows
 WAIT_TURN = 0.02  # s between looks for that
 
 
-class Succession:
-    def __init__(self, service: Service, line: Line) -> None:
+class HotRestart:
+    def __init__(self, service: Service, line: ProcessFiles) -> None:
         self._service, self._loop, self._line = service, service.loop, line
-        self.succeeds = line.predecessor() is not None
-        self._neighbours = Neighbours(self.succeeds)
+        self.has_predecessor = line.predecessor() is not None
+        self._neighbours = Neighbours(self.has_predecessor)
         self._renewed = -RENEW
-        service.instance = Instance(State.SUCCEEDING if self.succeeds else State.STARTING)
+        service.instance = Instance(State.SUCCEEDING if self.has_predecessor else State.STARTING)
 
     def await_handover(self) -> HandOver | None:
         """What the predecessor knows, where it says so in time; the door is answered meanwhile."""
         end = time.monotonic() + HAND_OVER_WAIT
-        while self.succeeds and time.monotonic() < end and not self._loop.stopped:
+        while self.has_predecessor and time.monotonic() < end and not self._loop.stopped:
             if (data := self._line.handed()) is not None:
                 return self._read(data)
             self._loop.after(WAIT_TURN, lambda: None)
             self._loop.run_turn()
-        if self.succeeds:
+        if self.has_predecessor:
             self._loop.log("no hand-over", f"none came within {HAND_OVER_WAIT} s; starting fresh")
         return None
 
     def _read(self, data: bytes) -> HandOver | None:
         try:
             handed = unpack(data, time.monotonic())
-        except FormError as error:
+        except DecodeError as error:
             self._loop.log("hand-over passed over", f"{error}; starting fresh")
             return None
         held = f"{len(handed.servers)} workers, {len(handed.module.sessions)} sessions"
         self._loop.log("hand-over taken", held)
         if handed.drained:
-            self._service.hear(Event.DRAIN)
+            self._service.handle_event(Event.DRAIN)
         return handed
 
-    def attend(self, knowledge: Callable[[bool], HandOver], room: Room) -> None:
+    def monitor(self, knowledge: Callable[[bool], HandOver], room: ResourceBudget) -> None:
         """Look at the line from now on; `knowledge` makes what a successor gets, told if this is drained."""
         self._knowledge, self._room = knowledge, room
         self._look()
@@ -66,24 +66,24 @@
     def _see(self) -> None:
         later = self._line.successors()
         ages = [age for age in map(self._line.ready_age, later) if age is not None]
-        sight = Sight(self._line.predecessor(), next(iter(later), None), min(ages, default=None))
-        self._room.share(sight.predecessor is not None or sight.successor is not None)
+        sight = NeighbourStatus(self._line.predecessor(), next(iter(later), None), min(ages, default=None))
+        self._room.set_shared(sight.predecessor is not None or sight.successor is not None)
         for event in self._neighbours.see(sight):
-            self._service.hear(event)
+            self._service.handle_event(event)
         if (number := self._neighbours.to_hand(sight)) is not None:
             self._line.hand(number, pack(self._knowledge(self._service.instance.drained)))
             self._loop.log("handed over", f"to process {number} of this instance")
-        accepts = self._service.instance.serves and self._service.instance.posture.accepting
+        accepts = self._service.instance.serves and self._service.instance.front_mode.accepting
         if accepts and sight.predecessor is not None and self._loop.now - self._renewed >= RENEW:
             self._renewed = self._loop.now
             self._line.mark_ready()
 
 
-def take_place(service: Service, environ: Mapping[str, str], name: str) -> Succession | None:
+def join_instance(service: Service, environ: Mapping[str, str], name: str) -> HotRestart | None:
     """This process's place in the line of its instance; None where there is no folder to stand in line in."""
     folder = Path(environ.get("TMPDIR") or "/tmp") / f"yewhook-{name.replace(os.sep, '_')}"
     try:
-        return Succession(service, Line(folder))
+        return HotRestart(service, ProcessFiles(folder))
     except OSError as error:
         service.log("no line of processes", f"{folder}: {error}; this process starts as the only one")
         return None
