--- a/yewhook/operations/instance.py
+++ b/yewhook/operations/instance.py
@@ -1,4 +1,4 @@
-"""The state of one instance, as a pure machine: what it is told moves it, and each state is one posture of
+"""The state of one instance, as a pure machine: what it is told moves it, and each state is one mode of
 the fronts. No clock, no I/O.
 
 SIGHUP and a list of workers that goes away move nothing: the configuration is not the state, and an instance
@@ -37,26 +37,28 @@
     LIST_GONE = auto()  # the register has fallen silent
 
 
-class Posture(NamedTuple):
+class FrontMode(NamedTuple):
     """What the fronts do."""
 
     healthy: bool  # `/healthz` says yes
     accepting: bool
-    keeping: bool  # a connection may bring a further request
-    closing: bool  # connections on which nothing is asked are closed
-    leaving: bool = False  # for good
-
-
-POSTURES = {
-    State.STARTING: Posture(healthy=False, accepting=True, keeping=True, closing=False),
-    State.SUCCEEDING: Posture(healthy=False, accepting=False, keeping=True, closing=False),
-    State.READY: Posture(healthy=True, accepting=True, keeping=True, closing=False),
-    State.DRAINING: Posture(healthy=False, accepting=True, keeping=False, closing=False),
-    State.DRAINED: Posture(healthy=False, accepting=True, keeping=False, closing=True),
-    State.HANDING_OVER: Posture(healthy=True, accepting=False, keeping=False, closing=True),
-    State.LASTING: Posture(healthy=True, accepting=True, keeping=True, closing=False),
-    State.ENDING: Posture(healthy=False, accepting=True, keeping=False, closing=False),
-    State.LEAVING: Posture(healthy=False, accepting=False, keeping=False, closing=True, leaving=True),
+    keep_alive: bool  # a connection may bring a further request
+    close_idle: bool  # connections on which nothing is asked are closed
+    shutting_down: bool = False  # for good
+
+
+FRONT_MODES = {
+    State.STARTING: FrontMode(healthy=False, accepting=True, keep_alive=True, close_idle=False),
+    State.SUCCEEDING: FrontMode(healthy=False, accepting=False, keep_alive=True, close_idle=False),
+    State.READY: FrontMode(healthy=True, accepting=True, keep_alive=True, close_idle=False),
+    State.DRAINING: FrontMode(healthy=False, accepting=True, keep_alive=False, close_idle=False),
+    State.DRAINED: FrontMode(healthy=False, accepting=True, keep_alive=False, close_idle=True),
+    State.HANDING_OVER: FrontMode(healthy=True, accepting=False, keep_alive=False, close_idle=True),
+    State.LASTING: FrontMode(healthy=True, accepting=True, keep_alive=True, close_idle=False),
+    State.ENDING: FrontMode(healthy=False, accepting=True, keep_alive=False, close_idle=False),
+    State.LEAVING: FrontMode(
+        healthy=False, accepting=False, keep_alive=False, close_idle=True, shutting_down=True
+    ),
 }
 
 _MOVES: dict[State, dict[Event, State]] = {
@@ -95,21 +97,21 @@
     drained: bool = False  # an operator's order: it outlives a hand-over, a restart, a successor that is lost
 
     @property
-    def posture(self) -> Posture:
-        return POSTURES[self.state]
+    def front_mode(self) -> FrontMode:
+        return FRONT_MODES[self.state]
 
     @property
     def serves(self) -> bool:
         """Whether it can serve, though it may be told not to."""
         return self.state not in (State.STARTING, State.SUCCEEDING, State.LEAVING)
 
-    def obeys(self, event: Event) -> bool:
+    def accepts(self, event: Event) -> bool:
         """Whether an operator's order means anything to it still."""
         return event not in ORDERED or self.state not in DEAF
 
 
 def step(instance: Instance, event: Event) -> Instance:
-    if not instance.obeys(event):
+    if not instance.accepts(event):
         return instance
     drained = ORDERED.get(event, instance.drained)
     state = TABLE[instance.state, event]
--- a/yewhook/operations/management_endpoint.py
+++ b/yewhook/operations/management_endpoint.py
@@ -19,8 +19,10 @@
 from ..service import Service, listen
 from .instance import Event
 
-CALLERS_MOST = 24  # connections at once; beyond them the oldest one gives way
-FILES = CALLERS_MOST + 2  # descriptors kept for it: callers, listener, and one being accepted
+MAX_CONNECTIONS = 24  # connections at once; beyond them the oldest one gives way
+RESERVED_DESCRIPTORS = (
+    MAX_CONNECTIONS + 2
+)  # descriptors kept for it: callers, listener, and one being accepted
 HEAD_MOST, BODY_MOST = 4096, 1024  # bytes of one call
 ARRIVE = 5.0  # s for a call to arrive whole
 ACCEPT_AT_ONCE = 8  # a turn; who connects in crowds is not to push a caller out before its call is read
@@ -35,7 +37,7 @@
 class Caller:
     """One connection, and the one call on it."""
 
-    def __init__(self, door: Door, sock: socket.socket) -> None:
+    def __init__(self, door: ManagementEndpoint, sock: socket.socket) -> None:
         self._door = door
         self._size = self._body = 0
         self._target = b""
@@ -101,7 +103,7 @@
         self.channel.abort()
 
 
-class Door:
+class ManagementEndpoint:
     def __init__(self, service: Service, address: Address) -> None:
         """Raises OSError."""
         self.loop, self._service = service.loop, service
@@ -129,9 +131,9 @@
         return 200 if instance.serves else 503, instance.state.value
 
     def _order(self, event: Event) -> tuple[int, str]:
-        if not self._service.instance.obeys(event):
+        if not self._service.instance.accepts(event):
             return 409, f"{self._service.instance.state.value}: another process serves, or none is to"
-        self._service.hear(event)
+        self._service.handle_event(event)
         return 200, self._service.instance.state.value
 
     def _accept(self, mask: int) -> None:
@@ -144,7 +146,7 @@
                 self.loop.log("door accept failed", str(error))
                 return
             self._callers = [caller for caller in self._callers if not caller.channel.closed]
-            if len(self._callers) >= CALLERS_MOST:
+            if len(self._callers) >= MAX_CONNECTIONS:
                 self._callers.pop(0).give_way()
             self._callers.append(Caller(self, sock))
 
--- a/yewhook/operations/orders.py
+++ b/yewhook/operations/orders.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class ActiveOrder:
     """An order that holds, or is being carried out."""
 
     order: Order
@@ -21,7 +21,7 @@
     at: float  # s, on the clock of whoever keeps it
 
 
-class Refused(Exception):
+class OrderRefused(Exception):
     """Why an order is not taken, for the operator."""
 
 
@@ -29,20 +29,20 @@
 class Orders:
     """A drain outlives the process; an upgrade is under way until it ends, well or not."""
 
-    drain: Given | None = None
-    upgrade: Given | None = None
+    drain: ActiveOrder | None = None
+    upgrade: ActiveOrder | None = None
 
-    def take(self, order: Order, by: str, now: float) -> Orders:
+    def with_order(self, order: Order, by: str, now: float) -> Orders:
         """What holds once the order is taken; a drain or resume that is ordered again changes nothing."""
         if self.upgrade is not None:
             since = now - self.upgrade.at
-            raise Refused(f"an upgrade by {self.upgrade.by} is under way, since {since:.0f} s ago")
+            raise OrderRefused(f"an upgrade by {self.upgrade.by} is under way, since {since:.0f} s ago")
         if order is Order.UPGRADE:
-            return replace(self, upgrade=Given(order, by, now))
+            return replace(self, upgrade=ActiveOrder(order, by, now))
         if order is Order.RESUME:
             return replace(self, drain=None)
-        return self if self.drain is not None else replace(self, drain=Given(order, by, now))
+        return self if self.drain is not None else replace(self, drain=ActiveOrder(order, by, now))
 
-    def over(self) -> Orders:
+    def without_upgrade(self) -> Orders:
         """The upgrade has ended."""
         return replace(self, upgrade=None)
--- a/yewhook/operations/process_files.py
+++ b/yewhook/operations/process_files.py
@@ -16,7 +16,7 @@
 FILE = re.compile(r"([0-9]{1,9})\.(process|ready|handover)")
 
 
-class Line:
+class ProcessFiles:
     def __init__(self, folder: Path) -> None:
         """Take the next place. Raises OSError."""
         self._folder = folder
--- a/yewhook/operations/process_neighbours.py
+++ b/yewhook/operations/process_neighbours.py
@@ -12,7 +12,7 @@
 HUNG = 1.0  # s without a renewal after which a successor counts as hung
 
 
-class Sight(NamedTuple):
+class NeighbourStatus(NamedTuple):
     """The line as it is seen at one moment."""
 
     predecessor: int | None
@@ -28,7 +28,7 @@
     handed_to: int | None = None
     succeeded: bool = False
 
-    def see(self, sight: Sight) -> list[Event]:
+    def see(self, sight: NeighbourStatus) -> list[Event]:
         events = []
         if self.had_predecessor and sight.predecessor is None:
             self.had_predecessor = False
@@ -39,7 +39,7 @@
             events.append(Event.SUCCESSOR_READY if serves else Event.SUCCESSOR_LOST)
         return events
 
-    def to_hand(self, sight: Sight) -> int | None:
+    def to_hand(self, sight: NeighbourStatus) -> int | None:
         """The successor that is to be told what this process knows: each is told once."""
         if sight.successor is None or sight.successor == self.handed_to:
             return None
--- a/yewhook/platform/clients.py
+++ b/yewhook/platform/clients.py
@@ -12,15 +12,15 @@
 
 from hopshed.interface import RequestArrived
 
-from ..arrival_time import UnreadSince
+from ..arrival_time import ArrivalTime
 from ..channel import Channel
 from ..config import Names
-from ..connection_limiter import Stand, Standing, give_way
+from ..connection_limiter import ConnectionActivity, ConnectionStatus, connections_to_close
 from ..core.ending import Ending
 from ..core.router import Router
-from ..front import ROOM_STEP, ClientConnections
+from ..front import MAX_CLOSED_AT_ONCE, ClientConnections
 from ..loop import Loop, Timer
-from ..operations.instance import Posture
+from ..operations.instance import FrontMode
 from ..slow_reader import SlowReader
 from . import http
 
@@ -127,7 +127,7 @@
         self.idle_since = self._heard_at = front.loop.now
         self._asked = False  # whether an answer has been given on it
         self.channel = Channel(front.loop, sock, self)
-        self._unread_since = UnreadSince(front.loop, front.waiting_since())
+        self._unread_since = ArrivalTime(front.loop, front.waiting_since())
         self.slow_reader = SlowReader(
             front.loop, lambda: self.channel.unsent, self._stalled, CAUGHT_UP, self._caught_up
         )
@@ -147,12 +147,15 @@
         return self.channel.ended
 
     @property
-    def standing(self) -> Standing:
+    def status(self) -> ConnectionStatus:
         if self.serving is not None or self.waiting:
-            return Standing(Stand.BUSY, self._heard_at)
+            return ConnectionStatus(ConnectionActivity.SERVING, self._heard_at)
         if self.call is not None:
-            return Standing(Stand.HALF, self._heard_at)
-        return Standing(Stand.ANSWERED if self._asked else Stand.SILENT, self.idle_since)
+            return ConnectionStatus(ConnectionActivity.READING_REQUEST, self._heard_at)
+        return ConnectionStatus(
+            ConnectionActivity.ANSWERED if self._asked else ConnectionActivity.NOTHING_RECEIVED,
+            self.idle_since,
+        )
 
     def give_way(self) -> None:
         """Close at once, unless a request has just come; waiting for the client to close keeps the place."""
@@ -191,7 +194,7 @@
         if self.unread:  # it has come in this very turn
             return self._timer.set(ARRIVE_MOMENT, self._late)
         if self.call is None:
-            return self.hang_up()  # nothing has been asked on it
+            return self.close_gracefully()  # nothing has been asked on it
         self._reject(BadRequest(408, "the request took too long to arrive"))
         return self._next()
 
@@ -278,7 +281,7 @@
             if call.rejected is not None:
                 self._answer(call.rejected.status, str(call.rejected))
             elif call.target.partition(b"?")[0] == b"/healthz":
-                healthy = self.front.posture.healthy
+                healthy = self.front.mode.healthy
                 self._answer(200 if healthy else 503, "ok" if healthy else "not serving")
             elif call.target.partition(b"?")[0] != CHAT:
                 self._answer(404, "no such path")
@@ -306,13 +309,13 @@
         self._answer(error.status, str(error))
         if not self.channel.closed and not self._last:
             self.channel.pause(True)
-            self._unread_since.stop()
+            self._unread_since.reading_paused()
             self._timer.set(PENALTY, self._read_on)
 
     def _read_on(self) -> None:
         if self.call is not None:
             self._expect()
-        self._unread_since.go_on()
+        self._unread_since.reading_resumed()
         self.channel.pause(False)
 
     # ---- answering ----
@@ -350,7 +353,7 @@
     def break_off(self, ending: Ending) -> None:
         self.front.log("stream broken off", f"{self.request_id} {ending.name.lower()}")
         self.request_id = ""
-        self.hang_up()
+        self.close_gracefully()
 
     def refuse(self, retry_after: float) -> None:
         advice = {"Retry-After": f"{retry_after:.3f}"} if retry_after > 0 else {}
@@ -360,7 +363,7 @@
         self._answer(STATUS.get(ending, 502), f"failed: {ending.name.lower() if ending else 'not served'}")
 
     def _ending_field(self) -> dict[str, str]:
-        self._last = self._last or not self.front.posture.keeping
+        self._last = self._last or not self.front.mode.keep_alive
         return {"Connection": "close"} if self._last and not self.waiting else {}
 
     def _answer(self, status: int, text: str, headers: dict[str, str] | None = None) -> None:
@@ -375,8 +378,8 @@
         self.idle_since = self.front.loop.now
         if self.waiting:
             self.front.loop.after(0.0, self._next)
-        elif self._last or not self.front.posture.keeping:  # its head may have been sent before that
-            self.hang_up()
+        elif self._last or not self.front.mode.keep_alive:  # its head may have been sent before that
+            self.close_gracefully()
 
     # ---- the connection ----
 
@@ -388,7 +391,7 @@
         if self.request_id:
             self.front.router.client_left(self.request_id)
 
-    def hang_up(self) -> None:
+    def close_gracefully(self) -> None:
         """Write what is left and close."""
         if self.front.log.detailed:
             self.front.log("client connection closed", self._why_closed())
@@ -398,7 +401,7 @@
     def _why_closed(self) -> str:
         if self._last:
             return "its last request is answered"
-        if not self.front.posture.keeping:
+        if not self.front.mode.keep_alive:
             return "the process ends"
         idle = self.front.loop.now - self.idle_since
         return f"idle for {idle:.1f} s" if self.idle else "its stream is broken off"
@@ -423,14 +426,14 @@
     def accepted(self, sock: socket.socket) -> None:
         self.connections.add(ClientConnection(self, sock))
 
-    def make_room(self) -> None:
-        standings = ((connection.standing, connection) for connection in self.connections)
-        for connection in give_way(standings, self.loop.now, ROOM_STEP):
+    def free_connections(self) -> None:
+        standings = ((connection.status, connection) for connection in self.connections)
+        for connection in connections_to_close(standings, self.loop.now, MAX_CLOSED_AT_ONCE):
             connection.give_way()
 
-    def take(self, posture: Posture) -> None:
-        self._drained_at = self.loop.now if posture.accepting and posture.closing else math.inf
-        super().take(posture)
+    def set_mode(self, mode: FrontMode) -> None:
+        self._drained_at = self.loop.now if mode.accepting and mode.close_idle else math.inf
+        super().set_mode(mode)
 
     def _sweep(self) -> None:
         super()._sweep()
--- a/yewhook/platform/discovery.py
+++ b/yewhook/platform/discovery.py
@@ -21,8 +21,8 @@
 from ..channel import Channel
 from ..config import Address
 from ..loop import Loop, Timer
-from ..start_times import Told
-from ..worker_list import Registry
+from ..start_times import MessageTimes
+from ..worker_list import WorkerList
 from . import http
 
 SILENCE = 2.5  # s; an empty line comes every 2
@@ -119,13 +119,13 @@
         loop: Loop,
         address: Address,
         generation: int,
-        registry: Registry,
+        worker_list: WorkerList,
         listed: Callable[[i.ListKind, tuple[i.Server, ...]], None],
         routers: int,
         random: Random,
     ) -> None:
         """`routers` = how many of them ask the same discovery; `random` keeps their tries apart."""
-        self._loop, self._registry, self._listed = loop, registry, listed
+        self._loop, self._worker_list, self._listed = loop, worker_list, listed
         self._address = address  # where the next call goes
         self._generation, self._numbered_by = generation, address  # of the list that is held; whose count
         self._backoff = Backoff(routers, random)
@@ -224,7 +224,7 @@
         """A word of a call: a message, or None where nothing has changed. Raises ValueError."""
         before, self._heard = self._heard, self._loop.now
         if message is not None:
-            self._message(call, message, Told(self._loop.now, before if self.answered else -math.inf))
+            self._message(call, message, MessageTimes(self._loop.now, before if self.answered else -math.inf))
         elif call.address != self._numbered_by:
             return  # asked for a whole list, it has told nothing yet
         if call is not self._serving:
@@ -240,7 +240,7 @@
         if old is not None:
             old.close()
 
-    def _message(self, call: Call, message: dict[str, Any], told: Told) -> None:
+    def _message(self, call: Call, message: dict[str, Any], told: MessageTimes) -> None:
         try:
             generation = int(message["generation"])
             held = self._generation if call.address == self._numbered_by else 0
@@ -250,7 +250,7 @@
                 raise ValueError(f"a list of generation {generation}, and {held} is held")
             if call is not self._serving and call.after <= generation < held:
                 return  # it crossed a later one of the call before; this call brings that next, too
-            servers = self._registry.read(message, told)
+            servers = self._worker_list.read(message, told)
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"an entry: {type(error).__name__} {error}") from error
         self._generation, self._numbered_by = generation, call.address
--- a/yewhook/platform/front.py
+++ b/yewhook/platform/front.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING
 
 from hopshed import interface as i
-from hopshed.handover import Knowledge
+from hopshed.handover import LearnedState
 
 from ..config import Config
 from ..front import RouterFront
 from ..loop import Loop
-from ..operations.instance import Posture
-from ..service import Room, inherited
-from ..start_times import Told
+from ..operations.instance import FrontMode
+from ..service import ResourceBudget, inherited
+from ..start_times import MessageTimes
 from ..throttle import Throttle
 from .clients import ClientFront
 from .discovery import Watch
@@ -24,7 +24,7 @@
 
 if TYPE_CHECKING:
     from ..operations.handover_encoding import HandOver
-    from ..recovery.snapshot_store import Keeper
+    from ..recovery.snapshot_store import SnapshotStore
 
 WORD = b"P"  # with which other routers' words for the recovery begin; the module's begin with others
 # Servers from which on connections to those that have gone are not looked for at each message, and the s for
@@ -34,21 +34,21 @@
 
 
 class PlatformFront(RouterFront):
-    whose = "platform"
+    front_name = "platform"
 
     def __init__(
         self,
         loop: Loop,
         config: Config,
-        room: Room,
+        room: ResourceBudget,
         read_again: Callable[[], Config],
         succeeds: bool = False,
         handed: HandOver | None = None,
-        keeper: Keeper | None = None,
+        snapshot_store: SnapshotStore | None = None,
     ) -> None:
-        """`succeeds` = another process of this instance serves still; `handed` = what that knows; `keeper` =
-        keeps what a process after this one goes on from."""
-        self._config, self._read_again, self._keeper = config, read_again, keeper
+        """`succeeds` = another process of this instance serves still; `handed` = what that knows;
+        `snapshot_store` keeps what a process after this one goes on from."""
+        self._config, self._read_again, self._snapshot_store = config, read_again, snapshot_store
         self.pool = pool = WorkerPool(
             loop, room.for_workers, config.connect_timeout, config.idle_limit, config.settings.may_resume
         )
@@ -59,8 +59,8 @@
             lambda address, request_id, done: delete(pool, address, request_id, done),
             pool.liveness,
         )
-        self.workers = HttpWorkers(pool, config.names.columns, self.registry, self.releases.release)
-        self.recovery = keeper.recovery if keeper is not None else None
+        self.workers = HttpWorkers(pool, config.names.columns, self.worker_list, self.releases.release)
+        self.recovery = snapshot_store.recovery if snapshot_store is not None else None
         self.route(self.workers, config.seed)
         self._resumed, self._began = handed is not None, loop.now
         generation = self._resume(handed) if handed is not None else self._begin()
@@ -70,97 +70,99 @@
                 loop, config.peer_listen, config.peers, config.peers_all, self._peer_said, succeeds
             )
             self.router.tell = self.peers.tell
-        self.clients = ClientFront(loop, self.router, config.names, room.for_bodies)
+        self.clients = ClientFront(loop, self.router, config.names, room.body_bytes)
         listener = inherited(config.accept_fd) if config.accept_fd is not None else None
         self.open(self.clients, config.listen, room, "the platform's", listener)
         self._unused = Throttle(loop, self._close_unused)
         # The router's seed is new with each start and another at each router.
         self.watch = Watch(
-            loop, config.discovery, generation, self.registry, self._listed,
+            loop, config.discovery, generation, self.worker_list, self._listed,
             config.settings.instances, Random(config.seed),
         )  # fmt: skip
         if handed is not None:
             self.watch.held_is_fresh()
-        if keeper is not None:
-            keeper.attend(self, self.router.tell)
+        if snapshot_store is not None:
+            snapshot_store.start(self, self.router.tell)
 
     def _begin(self) -> int:
         """Go on from the configuration's list; its generation."""
         try:
-            known = self.registry.read(self._config.known, Told(self.loop.now))
+            known = self.worker_list.read(self._config.known, MessageTimes(self.loop.now))
         except (KeyError, TypeError, ValueError) as error:
             self.loop.log("known list not understood", str(error))
             known = ()
-        if self._keeper is not None:
-            known = self.registry.add(self._keeper.begin(known))
+        if self._snapshot_store is not None:
+            known = self.worker_list.add(self._snapshot_store.begin(known))
         self.router.listed(i.ListKind.SAVED, known)
         return int(self._config.known.get("generation") or 0)
 
     def _peer_said(self, sender: int, data: bytes) -> None:
-        if self._keeper is not None and data[:1] == WORD:
-            self._keeper.heard(sender, data)
+        if self._snapshot_store is not None and data[:1] == WORD:
+            self._snapshot_store.heard(sender, data)
         else:
-            self.router.peer_said(sender, data)
+            self.router.peer_message(sender, data)
 
     def _resume(self, handed: HandOver) -> int:
         """Go on from what a predecessor knows."""
         from ..operations import handover_encoding
 
-        self.router.listed(i.ListKind.SAVED, self.registry.resume(handover_encoding.servers(handed.servers)))
+        self.router.listed(
+            i.ListKind.SAVED, self.worker_list.resume(handover_encoding.from_listed(handed.servers))
+        )
         try:
             self.router.resume(handed.told_off, handed.module)
         except ValueError as error:
             self.loop.log("hand-over passed over", f"what the module has learnt: {error}")
         return handed.generation
 
-    def knowledge(self, drained: bool) -> HandOver:
+    def handover_state(self, drained: bool) -> HandOver:
         """What a successor goes on from."""
-        return self._state(drained, self.router.knowledge())
+        return self._state(drained, self.router.split_learned_state())
 
     def state(self) -> HandOver:
         """What a process goes on from that comes after this one's end."""
-        return self._state(False, self.router.known())
+        return self._state(False, self.router.export_learned_state())
 
-    def _state(self, drained: bool, module: Knowledge) -> HandOver:
+    def _state(self, drained: bool, module: LearnedState) -> HandOver:
         from ..operations import handover_encoding
 
         known = self.router.table.present()
-        listed = handover_encoding.listed(
-            (server, self.registry.addresses.get(server.id)) for server in known
+        listed = handover_encoding.to_listed(
+            (server, self.worker_list.addresses.get(server.id)) for server in known
         )
         router = self.router
         return handover_encoding.HandOver(
-            self.loop.now, drained, self.watch.generation, listed, router.told_off, module
+            self.loop.now, drained, self.watch.generation, listed, router.withdrawn_since, module
         )
 
-    def take(self, posture: Posture) -> None:
-        super().take(posture)
-        if self.peers is not None and posture.accepting:
+    def set_mode(self, mode: FrontMode) -> None:
+        super().set_mode(mode)
+        if self.peers is not None and mode.accepting:
             self.peers.open()
-        elif self.peers is not None and posture.healthy:  # a successor speaks in this router's name
+        elif self.peers is not None and mode.healthy:  # a successor speaks in this router's name
             self.peers.close()
 
     def _listed(self, kind: i.ListKind, servers: tuple[i.Server, ...]) -> None:
-        if self._keeper is not None:
-            servers = self._keeper.listed(kind, servers, self.watch.generation)
-            self.registry.keep(servers)
+        if self._snapshot_store is not None:
+            servers = self._snapshot_store.listed(kind, servers, self.watch.generation)
+            self.worker_list.keep(servers)
         self._unused.ask()
         self.router.listed(kind, servers)
 
     def _close_unused(self) -> float:
         """Close what is kept to servers that have gone; s until that may be done again."""
-        self.pool.keep_only(self.registry.in_use())
-        servers = len(self.registry.states)
+        self.pool.keep_only(self.worker_list.in_use())
+        servers = len(self.worker_list.states)
         return CLOSE_UNUSED_EVERY * servers if servers >= MANY_SERVERS else 0.0
 
     @property
-    def able(self) -> bool:
+    def has_workers(self) -> bool:
         """Only discovery's word is new enough: what it has counts as told from a process's first moment."""
         heard = self.watch.answered or self._resumed or self.loop.now - self._began >= FIRST_WORD
-        return heard and super().able
+        return heard and super().has_workers
 
     @property
-    def register_age(self) -> float:
+    def discovery_age(self) -> float:
         return self.loop.now - self.watch.heard
 
     def reload(self) -> Callable[[], str]:
@@ -178,7 +180,7 @@
 
     def close(self) -> None:
         self.watch.close()
-        if self._keeper is not None:
-            self._keeper.close()
+        if self._snapshot_store is not None:
+            self._snapshot_store.close()
         if self.peers is not None:
             self.peers.close()
--- a/yewhook/platform/peers.py
+++ b/yewhook/platform/peers.py
@@ -12,7 +12,7 @@
 
 from ..config import Address
 from ..loop import Loop, Timer
-from ..transient_errors import insist
+from ..transient_errors import retry_transient
 
 LONGEST = 256  # bytes of a message; a longer one is not permitted
 AT_ONCE = 64  # messages read in a turn
@@ -39,7 +39,7 @@
         if waits:
             self.open()
         else:
-            insist(self._open)
+            retry_transient(self._open)
 
     def _open(self) -> None:
         mine = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -51,7 +51,7 @@
             raise
         self._socket = mine
         self._loop.sockets += 1
-        self._loop.gatherers.append(self._receive)
+        self._loop.pollers.append(self._receive)
 
     def open(self) -> None:
         """Hear and speak again, once the other process has let the address go."""
@@ -92,7 +92,7 @@
     def close(self) -> None:
         self._again.cancel()
         if self._socket is not None:
-            self._loop.gatherers.remove(self._receive)
+            self._loop.pollers.remove(self._receive)
             self._socket.close()
             self._loop.sockets -= 1
             self._socket = None
--- a/yewhook/platform/workers.py
+++ b/yewhook/platform/workers.py
@@ -12,11 +12,11 @@
 from .. import load_reports
 from ..channel import Channel
 from ..config import Address
-from ..connection_pool import Pool
+from ..connection_pool import ConnectionPool
 from ..core.ending import Ending
-from ..front import AttemptsOut, Release
+from ..front import PendingAttempts, Release
 from ..loop import Loop, Timer
-from ..worker_list import Registry
+from ..worker_list import WorkerList
 from . import http
 from .clients import Call
 
@@ -52,7 +52,7 @@
     def __init__(self, pool: WorkerPool, address: Address) -> None:
         self.pool, self.address = pool, address
         self.exchange: Exchange | None = None
-        self.up = False
+        self.is_connected = False
         self.idle_since = 0.0
         self._parser: httptools.HttpResponseParser | None = None
         self._headers: dict[str, str] = {}
@@ -69,7 +69,7 @@
     @property
     def written(self) -> bool:
         """Whether the last byte of what is asked has been handed over."""
-        return self.up and self.channel.written
+        return self.is_connected and self.channel.written
 
     def ask(self, exchange: Exchange, compose: Callable[[], bytes]) -> None:
         """Send a request, composed as its bytes leave: what it says of the time left is right then."""
@@ -78,7 +78,7 @@
         self._headers, self._head_size = {}, 0
         self._in_head = True
         self._begun = self._in_chunk = self._complete = self._reusable = False
-        if self.up:
+        if self.is_connected:
             self.channel.send(compose())
         else:
             self._compose = compose
@@ -86,7 +86,7 @@
     def close(self) -> None:
         address, liveness = self.address, self.pool.liveness
         if self.exchange is not None and liveness.heard(address) < self._asked:  # nothing since it was asked
-            liveness.miss(address, self.pool.loop.now)
+            liveness.record_missed(address, self.pool.loop.now)
         self.exchange = self._parser = None  # the parser knows this object, too
         self._timer.cancel()
         self._still.cancel()
@@ -96,15 +96,15 @@
     # ---- the channel ----
 
     def connected(self) -> None:
-        self.up = True
+        self.is_connected = True
         self._timer.cancel()
         if (compose := self._compose) is not None:
             self._compose = None
             self.channel.send(compose())
 
-    def hurry(self, within: float) -> None:
+    def limit_connect_time(self, within: float) -> None:
         """Give up a connection that is not up in so many s, though it may take longer otherwise."""
-        if not self.up and within < self.pool.connect_timeout:
+        if not self.is_connected and within < self.pool.connect_timeout:
             self._timer.set(within, self._too_late)
 
     def _too_late(self) -> None:
@@ -114,7 +114,7 @@
         """What is asked has been written whole."""
 
     def received(self, data: bytes) -> None:
-        self.pool.liveness.hear(self.address, self.pool.loop.now)
+        self.pool.liveness.record_heard(self.address, self.pool.loop.now)
         if self.exchange is None or self._parser is None:
             return self.close()  # bytes that nobody asked for
         if self._in_head:
@@ -176,7 +176,7 @@
         self._broken(Ending.GARBLED)
 
     def lost(self, error: OSError | None) -> None:
-        if not self.up:
+        if not self.is_connected:
             return self._broken(Ending.CONNECT_REFUSED)
         if not self.written:
             return self._broken(Ending.BROKEN_UNSENT)
@@ -236,7 +236,7 @@
             self._reusable = self._parser.should_keep_alive()  # known only here: the parser starts anew
 
 
-class WorkerPool(Pool[WorkerConnection]):
+class WorkerPool(ConnectionPool[WorkerConnection]):
     """The connections to workers, those in use and those kept for the next exchange."""
 
     def __init__(
@@ -275,7 +275,7 @@
 
     def begin(self, address: Address, compose: Callable[[], bytes], within: float) -> None:
         self.connection = self.workers.pool.ask(address, self, compose)
-        self.connection.hurry(within)
+        self.connection.limit_connect_time(within)
 
     def give_up(self) -> bool:
         if self.connection is None:
@@ -286,7 +286,7 @@
 
     @property
     def on_its_way(self) -> bool:
-        return self.connection is not None and self.connection.up
+        return self.connection is not None and self.connection.is_connected
 
     def pause(self, paused: bool) -> None:
         if self.connection is not None:
@@ -306,7 +306,9 @@
             self._hear(headers[REPORT])
 
     def _hear(self, text: str | bytes) -> None:
-        self._load = load_reports.load(load_reports.parse(text), self.workers.columns) or self._load
+        self._load = (
+            load_reports.parse_load(load_reports.parse_json(text), self.workers.columns) or self._load
+        )
 
     def body(self, data: bytes) -> None:
         if self._status != 200:
@@ -327,7 +329,7 @@
         self.told += not event.startswith(b":")
         if b'"usage"' in event:
             self._found = cached(event) or self._found
-        self.workers.told.event(self.request_id, self.number, event)
+        self.workers.listener.event(self.request_id, self.number, event)
 
     def whole(self) -> None:
         if rest := self._events.rest():
@@ -337,7 +339,7 @@
             ending = Ending.SERVED
         elif status == 202:
             ending = Ending.READ
-            self._found = stated(load_reports.parse(bytes(self._body)), "cached_tokens")
+            self._found = stated(load_reports.parse_json(bytes(self._body)), "cached_tokens")
         elif status == 410:
             ending = Ending.STATE_GONE
         elif status in (503, 504) and turned_away:
@@ -354,26 +356,26 @@
     """A number of tokens within an answer; 0 where none is stated there."""
     for name in path:
         value = value.get(name) if isinstance(value, dict) else None
-    return load_reports.count(value)
+    return load_reports.token_count(value)
 
 
 def cached(event: bytes) -> int:
     """The kept tokens that a stream's usage event states."""
-    said = load_reports.parse(event.partition(b"data:")[2])
+    said = load_reports.parse_json(event.partition(b"data:")[2])
     return stated(said, "usage", "prompt_tokens_details", "cached_tokens")
 
 
-class HttpWorkers(AttemptsOut[AttemptExchange]):
+class HttpWorkers(PendingAttempts[AttemptExchange]):
     """The core's `Workers` over HTTP."""
 
     def __init__(
         self,
         pool: WorkerPool,
         columns: tuple[str, ...],
-        registry: Registry,
+        worker_list: WorkerList,
         release: Release,
     ) -> None:
-        super().__init__(pool.loop, registry, release)
+        super().__init__(pool.loop, worker_list, release)
         self.pool, self.columns = pool, columns
 
     def send(
--- a/yewhook/recovery/desired_state.py
+++ b/yewhook/recovery/desired_state.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class DesiredInstance:
     """Of one instance."""
 
     runs: bool = True
@@ -23,28 +23,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class DesiredState:
     revision: int = 0
-    instances: Mapping[str, Wish] = field(default_factory=dict)  # those that differ from the default
+    instances: Mapping[str, DesiredInstance] = field(
+        default_factory=dict
+    )  # those that differ from the default
 
-    def of(self, name: str) -> Wish:
-        return self.instances.get(name, Wish())
+    def instance(self, name: str) -> DesiredInstance:
+        return self.instances.get(name, DesiredInstance())
 
-    def change(self, name: str, wish: Wish) -> Wanted:
+    def change(self, name: str, wish: DesiredInstance) -> DesiredState:
         """With that instance's wish; the same where nothing changes."""
-        if self.of(name) == wish:
+        if self.instance(name) == wish:
             return self
         others = {other: one for other, one in self.instances.items() if other != name}
-        return Wanted(self.revision + 1, others | ({name: wish} if wish != Wish() else {}))
+        return DesiredState(self.revision + 1, others | ({name: wish} if wish != DesiredInstance() else {}))
 
 
-def pack(wanted: Wanted) -> bytes:
+def pack(wanted: DesiredState) -> bytes:
     return msgspec.json.format(msgspec.json.encode(wanted)) + b"\n"
 
 
-def unpack(data: bytes) -> Wanted:
+def unpack(data: bytes) -> DesiredState:
     """Raises ValueError where it is damaged."""
     try:
-        return msgspec.json.decode(data, type=Wanted)
+        return msgspec.json.decode(data, type=DesiredState)
     except msgspec.MsgspecError as error:
         raise ValueError(str(error)) from error
--- a/yewhook/recovery/peer_messages.py
+++ b/yewhook/recovery/peer_messages.py
@@ -16,7 +16,7 @@
 # Mark, version, flags, phase, workers, lateness (255 = all), turns lately (tenths), up for (tenths of s)
 HEAD = struct.Struct("!cBBBBBBI")
 WORKER = struct.Struct("!QBB")  # number, up or gone, seen so many tenths of a s ago
-WORKERS_MOST, LONGEST = 20, 256  # a datagram's limit is the platform's
+MAX_WORKERS, MAX_MESSAGE_BYTES = 20, 256  # a datagram's limit is the platform's
 ASKS = 1  # flag
 FIRST = (0.05, 0.6)  # s after the start in which a router speaks first
 AGAIN = 1.0  # s between words while it recovers, times up to two by chance
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class PeerMessage:
     asks: bool
     phase: Phase
     up_for: float  # s
@@ -41,8 +41,8 @@
     turns: float = 0.0  # by how many turns it knows that
 
 
-def pack(word: Word) -> bytes:
-    workers = word.workers[:WORKERS_MOST]
+def pack(word: PeerMessage) -> bytes:
+    workers = word.workers[:MAX_WORKERS]
     up = min(0xFFFFFFFF, max(0, round(word.up_for * 10)))
     late, turns = (min(255, max(0, round(255 * word.late))), min(255, max(0, round(10 * word.turns))))
     head = HEAD.pack(MARK, VERSION, ASKS * word.asks, word.phase, len(workers), late, turns, up)
@@ -50,21 +50,21 @@
     return head + b"".join(rest)
 
 
-def unpack(data: bytes) -> Word:
+def unpack(data: bytes) -> PeerMessage:
     """Raises ValueError where it is not a word, or of another version."""
     if len(data) < HEAD.size or data[:1] != MARK:
         raise ValueError(f"a message of {len(data)} bytes that begins with {data[:1]!r}")
     _, version, flags, phase, count, late, turns, up = HEAD.unpack_from(data)
     if version != VERSION:
         raise ValueError(f"a word of version {version}, and {VERSION} is read here")
-    if len(data) != HEAD.size + count * WORKER.size or count > WORKERS_MOST:
+    if len(data) != HEAD.size + count * WORKER.size or count > MAX_WORKERS:
         raise ValueError(f"a word of {len(data)} bytes for {count} workers")
     seen = (WORKER.unpack_from(data, HEAD.size + n * WORKER.size) for n in range(count))
     workers = tuple(Seen(server, bool(runs), age / 10) for server, runs, age in seen)
-    return Word(bool(flags & ASKS), Phase(phase), up / 10, workers, late / 255, turns / 10)
+    return PeerMessage(bool(flags & ASKS), Phase(phase), up / 10, workers, late / 255, turns / 10)
 
 
-class Speaker:
+class MessageSchedule:
     """When a router speaks. Nobody waits for a word, and none is sent twice."""
 
     def __init__(self, routers: int, random: Random, now: float) -> None:
@@ -92,8 +92,8 @@
 
 def choose(alive: Sequence[Seen], random: Random) -> tuple[Seen, ...]:
     """The workers to tell of: what was seen last, and some by chance where there are more."""
-    if len(alive) <= WORKERS_MOST:
+    if len(alive) <= MAX_WORKERS:
         return tuple(alive)
     fresh = sorted(alive, key=lambda seen: seen.age)
-    half = WORKERS_MOST // 2
-    return tuple(fresh[:half]) + tuple(random.sample(fresh[half:], WORKERS_MOST - half))
+    half = MAX_WORKERS // 2
+    return tuple(fresh[:half]) + tuple(random.sample(fresh[half:], MAX_WORKERS - half))
--- a/yewhook/recovery/phases.py
+++ b/yewhook/recovery/phases.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class PhaseEvidence:
     """What the phase goes by at one moment."""
 
     path: bool  # by the list there is a reader and a writer, or a mixed worker
@@ -48,7 +48,7 @@
     alone: bool = False  # only this router was restarted
 
 
-def reached(sight: Sight) -> Phase:
+def reached(sight: PhaseEvidence) -> Phase:
     """The best phase that the evidence of this moment carries."""
     if not sight.path:
         return Phase.NOTHING
@@ -62,24 +62,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class PhaseState:
     phase: Phase
     since: float  # s
     better: float | None = None  # since when the evidence carries a better phase
 
-    def step(self, sight: Sight, now: float, calm: float) -> Standing:
+    def step(self, sight: PhaseEvidence, now: float, calm: float) -> PhaseState:
         """One look. Only want of workers takes full service back: lateness is then the levels' matter."""
         best = reached(sight)
         if self.phase is Phase.FULL:
-            return Standing(Phase.NOTHING, now) if best is Phase.NOTHING else self
+            return PhaseState(Phase.NOTHING, now) if best is Phase.NOTHING else self
         if best < self.phase:
-            return Standing(best, now)
+            return PhaseState(best, now)
         if best is self.phase:
-            return self if self.better is None else Standing(self.phase, self.since)
+            return self if self.better is None else PhaseState(self.phase, self.since)
         better = now if self.better is None else self.better
         # What is proven needs no calm: only the steps that load decides are waited for.
         waits = 0.0 if sight.alone or self.phase <= Phase.COLD else calm
         if now - better >= waits:
             up = Phase.FULL if sight.alone else Phase(self.phase + 1)
-            return Standing(up, now)
-        return Standing(self.phase, self.since, better)
+            return PhaseState(up, now)
+        return PhaseState(self.phase, self.since, better)
--- a/yewhook/recovery/ramp.py
+++ b/yewhook/recovery/ramp.py
@@ -13,7 +13,7 @@
 
 from ..levels.estimators import Rate, Share
 from ..levels.fairness import max_min
-from ..levels.turns import Kind, Standing, Turn
+from ..levels.turns import Kind, RefusalLoss, Turn
 from .settings import RecoverySettings
 
 DEPTH = 1.0  # s of the rate that the bucket holds; one turn at least
@@ -43,15 +43,15 @@
 
 
 def rank(kind: Kind, top: frozenset[int]) -> Rank:
-    if kind.standing is Standing.BACK:
+    if kind.refusal_loss is RefusalLoss.RESUMED_STREAM:
         return Rank.BACK
-    if kind.over:
+    if kind.over_share:
         return Rank.BEYOND
     if kind.cls in top:
         return Rank.TOP
-    if kind.standing is Standing.REPEAT:
+    if kind.refusal_loss is RefusalLoss.CLIENT_RETRY:
         return Rank.BEYOND
-    return Rank.UNDER_WAY if kind.standing is Standing.UNDER_WAY else Rank.NEW
+    return Rank.UNDER_WAY if kind.refusal_loss is RefusalLoss.OPEN_SESSION else Rank.NEW
 
 
 class Ramp:
--- a/yewhook/recovery/recovery.py
+++ b/yewhook/recovery/recovery.py
@@ -14,15 +14,15 @@
 from hopshed import interface as i
 from hopshed.estimate import Estimate
 from hopshed.interface import ListKind, Outcome, Role, ServerState
-from hopshed.slow_start import WORK_MEMORY
+from hopshed.slow_start import WORK_RATE_TIME_CONSTANT_S
 
 from ..levels.estimators import Share
-from ..levels.turns import Standing as TurnStanding
+from ..levels.turns import RefusalLoss as TurnStanding
 from ..levels.turns import Turn
-from .peer_messages import Seen, Word, choose
-from .phases import WAITS_FOR, WARM, Phase, Sight, Standing
+from .peer_messages import PeerMessage, Seen, choose
+from .phases import WAITS_FOR, WARM, Phase, PhaseEvidence, PhaseState
 from .ramp import LATE_SPAN, Ramp, Rank, rank
-from .restart_scope import Evidence, Scope, Verdict, judge
+from .restart_scope import Evidence, Scope, ScopeEstimate, estimate_scope
 from .settings import RecoverySettings
 from .trust import LIVES, Fact, Kind, Ledger, Source
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Past:
+class PreviousRun:
     """What this router's snapshot says, on the clock of now."""
 
     wrote: float
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Usual:
+class UsualTraffic:
     """What this router did before, in full service."""
 
     turns: float  # a second that it sent on
@@ -57,14 +57,16 @@
     rates: dict[Role, float]  # sends of mean work a second to one of them
 
 
-def usual(turns: float, servers: Mapping[Role, list[int]], sent: Mapping[int, Estimate], now: float) -> Usual:
+def usual_traffic(
+    turns: float, servers: Mapping[Role, list[int]], sent: Mapping[int, Estimate], now: float
+) -> UsualTraffic:
     """`turns` a second that the router sent on; `sent` = the module's rates of what went to each server."""
     rates = {}
     for role, numbers in servers.items():
-        known = [sent[n].faded(now, WORK_MEMORY) for n in numbers if n in sent]
+        known = [sent[n].decayed(now, WORK_RATE_TIME_CONSTANT_S) for n in numbers if n in sent]
         if known:
             rates[role] = sum(known) / len(known)
-    return Usual(turns, {role: len(numbers) for role, numbers in servers.items()}, rates)
+    return UsualTraffic(turns, {role: len(numbers) for role, numbers in servers.items()}, rates)
 
 
 class Recovery:
@@ -79,11 +81,11 @@
         """`say` = a line of the log."""
         self.settings, self._module, self._say, self._random = settings, module, say, random
         self.ledger = Ledger()
-        self.verdict = Verdict(Scope.UNKNOWN, ())
-        self.standing = Standing(Phase.NOTHING, now)
+        self.scope_estimate = ScopeEstimate(Scope.UNKNOWN, ())
+        self.phase_state = PhaseState(Phase.NOTHING, now)
         self.ramp = Ramp(settings, [tenant.share for tenant in module.tenants], now)
         self.began = now
-        self._past: Past | None = None
+        self._past: PreviousRun | None = None
         self._servers: dict[int, i.Server] = {}
         self._starts: dict[int, float | None] = {}  # by the register, of workers that the past knows
         self._generation = 0
@@ -92,7 +94,7 @@
         self._routers: dict[int, tuple[float, float]] = {}  # other router -> up since, heard
         self._proven: dict[int, float] = {}  # worker -> since when it warms up, where no list says
         self._restarted: set[int] = set()  # workers that the register has told of since the loss
-        self._usual: Usual | None = None
+        self._usual: UsualTraffic | None = None
         self._rates_told = True
         self._lost: dict[int, float] = {}  # worker -> when nothing came back from it
         self._warm = 0.0
@@ -101,11 +103,11 @@
 
     @property
     def active(self) -> bool:
-        return self.standing.phase is not Phase.FULL
+        return self.phase_state.phase is not Phase.FULL
 
     # ---- what is known from before ----
 
-    def remember(self, past: Past) -> None:
+    def load_previous_run(self, past: PreviousRun) -> None:
         """Take this router's own snapshot into account; before the first list."""
         self._past, self._generation = past, past.generation
         for server in past.servers:
@@ -197,7 +199,7 @@
 
     # ---- what is heard ----
 
-    def hear(self, event: i.Event, now: float) -> None:
+    def observe(self, event: i.Event, now: float) -> None:
         if isinstance(event, i.ServersListed):
             self._listed(event)
         elif isinstance(event, i.StreamStarted):
@@ -249,7 +251,7 @@
             self.ramp.late.add(turn.worth, late, now)
             self._own_late.add(turn.worth, late, now)
 
-    def heard(self, sender: int, word: Word, now: float) -> None:
+    def message_received(self, sender: int, word: PeerMessage, now: float) -> None:
         """Another router's word."""
         self._routers[sender] = (now - word.up_for, now)
         count = sum(now - heard < ROUTER_HEARD for _, heard in self._routers.values()) + 1
@@ -262,14 +264,14 @@
                 self.ledger.note(Fact(Kind.RUNS, seen.server, True, Source.PEERS, at))
                 self._prove(seen.server, now)
 
-    def word(self, asks: bool, now: float) -> Word:
+    def message(self, asks: bool, now: float) -> PeerMessage:
         """What this router tells of itself and of the workers that it has met lately."""
         met = (self.ledger.best(Kind.RUNS, n, now) for n in self.ledger.about(Kind.RUNS))
         seen = [Seen(f.about, True, now - f.at) for f in met if f and f.source is Source.ANSWERS]
         seen += [Seen(n, False, now - at) for n, at in self._lost.items() if now - at < LOST_FOR]
-        late, worth = self._own_late.at(now), self._own_late.all.faded(now, LATE_SPAN)
+        late, worth = self._own_late.at(now), self._own_late.all.decayed(now, LATE_SPAN)
         workers, turns = choose(seen, self._random), worth / max(self._mean_worth, 1e-9)
-        return Word(asks, self.standing.phase, now - self.began, workers, late, turns)
+        return PeerMessage(asks, self.phase_state.phase, now - self.began, workers, late, turns)
 
     def _shown(self, server: int, now: float) -> bool:
         fact = self.ledger.best(Kind.RUNS, server, now)
@@ -277,21 +279,21 @@
 
     # ---- looks ----
 
-    def expect(self, usual: Usual) -> None:
+    def set_usual_traffic(self, usual: UsualTraffic) -> None:
         """What was usual before, by this router's snapshot."""
         self._usual, self._rates_told = usual, False
 
     def look(self, now: float, sight: dict[Role, i.RoleUsage], mean_worth: float) -> None:
         self._judge(now)
         self._mean_worth = mean_worth
-        self.ramp.late.least = FEW * mean_worth
+        self.ramp.late.min_total = FEW * mean_worth
         seen = self._sight(now, sight)
-        before, self.standing = self.standing, self.standing.step(seen, now, self.settings.calm)
-        if self.standing.phase is not before.phase:
+        before, self.phase_state = self.phase_state, self.phase_state.step(seen, now, self.settings.calm)
+        if self.phase_state.phase is not before.phase:
             why = f"after {now - before.since:.1f} s, {round(100 * seen.warm)}% of what is known is warm"
-            self._say("recovery phase", f"{before.phase.label} to {self.standing.phase.label}: {why}")
+            self._say("recovery phase", f"{before.phase.label} to {self.phase_state.phase.label}: {why}")
         warm = self._shown_to_do(self._able(now))
-        self.ramp.look(now, warm, self.standing.phase >= Phase.TRICKLE)
+        self.ramp.look(now, warm, self.phase_state.phase >= Phase.TRICKLE)
 
     def _judge(self, now: float) -> None:
         past = self._past
@@ -302,26 +304,26 @@
             past.wrote, past.same_boot, past.clock_back, self._starts, self._generation_back,
             sum(up <= past.wrote for up in since), sum(up > past.wrote for up in since),
         )  # fmt: skip
-        verdict = judge(evidence)
-        changed = verdict.scope is not self.verdict.scope or not self.verdict.why
-        self.verdict = verdict
+        verdict = estimate_scope(evidence)
+        changed = verdict.scope is not self.scope_estimate.scope or not self.scope_estimate.why
+        self.scope_estimate = verdict
         if changed:
             self._say("restart judged", str(verdict))
 
-    def _sight(self, now: float, sight: dict[Role, i.RoleUsage]) -> Sight:
+    def _sight(self, now: float, sight: dict[Role, i.RoleUsage]) -> PhaseEvidence:
         mixed = sight[Role.MIXED]
         stages = [(sight[role].usable + mixed.usable, sight[role].listed + mixed.listed)
                   for role in (Role.READER, Role.WRITER)]  # fmt: skip
         self._warm = min(usable / listed if listed else 0.0 for usable, listed in stages)
         alive = self.alive()
         proven = bool(alive[Role.MIXED] or (alive[Role.READER] and alive[Role.WRITER]))
-        return Sight(
+        return PhaseEvidence(
             path=all(listed for _, listed in stages),
             proven=proven,
             late=self.ramp.late.at(now) >= self.settings.late,
             fits=self.ramp.fits(now),
             warm=self._warm,
-            alone=self.verdict.scope is Scope.ALONE or self._first_start(now),
+            alone=self.scope_estimate.scope is Scope.ALONE or self._first_start(now),
         )
 
     def _first_start(self, now: float) -> bool:
@@ -372,11 +374,11 @@
     # ---- what it asks of the module ----
 
     def admits(self, turn: Turn, top: frozenset[int], now: float) -> bool:
-        phase = self.standing.phase
+        phase = self.phase_state.phase
         if phase is Phase.FULL:
             return True
-        if not self._text_stands and turn.kind.standing is TurnStanding.UNDER_WAY:
-            turn = replace(turn, kind=turn.kind._replace(standing=TurnStanding.NEW))
+        if not self._text_stands and turn.kind.refusal_loss is TurnStanding.OPEN_SESSION:
+            turn = replace(turn, kind=turn.kind._replace(refusal_loss=TurnStanding.NEW_SESSION))
         if phase is Phase.NOTHING:
             return rank(turn.kind, top) is Rank.BACK
         return self.ramp.admits(turn, top, now)
@@ -384,9 +386,9 @@
     @property
     def _text_stands(self) -> bool:
         """Whether what was kept before this start can be there still."""
-        return self.verdict.scope is Scope.ALONE
+        return self.scope_estimate.scope is Scope.ALONE
 
-    def hints(self) -> list[i.Event]:
+    def warm_rates(self) -> list[i.Event]:
         """What the module is to know of before, once; its budgets for cold workers go by warm ones."""
         if self._rates_told or self._usual is None:
             return []
@@ -407,10 +409,10 @@
             if (fact := self.ledger.best(Kind.LISTED, number, now)) is not None:
                 by_source[fact.source.value] = by_source.get(fact.source.value, 0) + 1
         return {
-            "phase": self.standing.phase.label,
-            "since_s": round(now - self.standing.since, 1),
-            "waits_for": WAITS_FOR[self.standing.phase],
-            "judged": str(self.verdict),
+            "phase": self.phase_state.phase.label,
+            "since_s": round(now - self.phase_state.since, 1),
+            "waits_for": WAITS_FOR[self.phase_state.phase],
+            "judged": str(self.scope_estimate),
             "snapshot_age_s": round(now - past.wrote, 1) if past is not None else None,
             "workers_by_source": by_source,
             "alive": {role.value: count for role, count in self.alive().items()},
--- a/yewhook/recovery/restart_scope.py
+++ b/yewhook/recovery/restart_scope.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class ScopeEstimate:
     scope: Scope
     why: tuple[str, ...]
 
@@ -39,10 +39,10 @@
         return f"{self.scope.value}: {'; '.join(self.why) or 'no evidence'}"
 
 
-def judge(seen: Evidence) -> Verdict:
+def estimate_scope(seen: Evidence) -> ScopeEstimate:
     """Weigh what speaks for the fleet's loss (over 0) and for this router's alone (under 0)."""
     if seen.wrote is None:
-        return Verdict(Scope.UNKNOWN, ("no snapshot",))
+        return ScopeEstimate(Scope.UNKNOWN, ("no snapshot",))
     parts: list[tuple[float, str]] = []
     if seen.starts and not seen.clock_back:
         began = sum(at is not None and at > seen.wrote + AFTER for at in seen.starts.values())
@@ -63,4 +63,4 @@
         parts.append((0.5, f"{seen.up_since} other routers came up after it, none before"))
     weight = sum(one for one, _ in parts)
     scope = Scope.FLEET if weight >= SURE else Scope.ALONE if weight <= -SURE else Scope.UNKNOWN
-    return Verdict(scope, tuple(why for _, why in parts))
+    return ScopeEstimate(scope, tuple(why for _, why in parts))
--- a/yewhook/recovery/snapshot.py
+++ b/yewhook/recovery/snapshot.py
@@ -11,7 +11,7 @@
 from hopshed.interface import Settings
 
 from ..config import Names
-from ..operations.handover_encoding import FormError, HandOver, seal, unseal
+from ..operations.handover_encoding import DecodeError, HandOver, decode_checked, encode_checked
 
 NAME = b"yewhook-snapshot"
 AHEAD = 1.0  # s by which a snapshot's time may lie before us, for clocks are set
@@ -43,21 +43,21 @@
     boot: str
 
 
-def mark_of(settings: Settings, names: Names) -> str:
+def fleet_id(settings: Settings, names: Names) -> str:
     """The same for two processes that mean the same by classes, kinds, clients and zones."""
     said = repr((names.classes, names.tenants, names.zones, names.kinds, settings.roles))
     return blake2b(said.encode(), digest_size=8).hexdigest()
 
 
 def pack(snapshot: Snapshot) -> bytes:
-    return seal(NAME, snapshot)
+    return encode_checked(NAME, snapshot)
 
 
 def unpack(data: bytes, fleet: str) -> Snapshot:
-    """Raises FormError where it can't be read, or is another fleet's."""
-    snapshot = unseal(NAME, "snapshot", data, Snapshot)
+    """Raises DecodeError where it can't be read, or is another fleet's."""
+    snapshot = decode_checked(NAME, "snapshot", data, Snapshot)
     if snapshot.fleet != fleet:
-        raise FormError(f"of a fleet with other settings ({snapshot.fleet}, and ours is {fleet})")
+        raise DecodeError(f"of a fleet with other settings ({snapshot.fleet}, and ours is {fleet})")
     return snapshot
 
 
--- a/yewhook/recovery/snapshot_restore.py
+++ b/yewhook/recovery/snapshot_restore.py
@@ -7,7 +7,7 @@
 from typing import TypeVar
 
 from hopshed.estimate import Estimate
-from hopshed.handover import Knowledge
+from hopshed.handover import LearnedState
 from hopshed.state import Session
 
 from .restart_scope import Scope
@@ -16,7 +16,7 @@
 K = TypeVar("K", bound=Estimate | Session)
 
 
-def recall(known: Knowledge, scope: Scope, shift: float, wrote: float, now: float) -> Knowledge:
+def still_valid(known: LearnedState, scope: Scope, shift: float, wrote: float, now: float) -> LearnedState:
     """`shift` = s that its clock must be moved by to be this process's; `wrote` = when, on the latter.
 
     After the fleet's loss nothing is kept at workers, and none is as it was; what clients ask is."""
--- a/yewhook/recovery/snapshot_store.py
+++ b/yewhook/recovery/snapshot_store.py
@@ -13,15 +13,15 @@
 
 from ..config import Names
 from ..loop import Loop, Timer
-from ..operations.handover_encoding import FormError, HandOver, servers
+from ..operations.handover_encoding import DecodeError, HandOver, from_listed
 from . import peer_messages
 from .files import Folder
 from .generations import Generations
-from .recovery import Past, Recovery, usual
+from .recovery import PreviousRun, Recovery, usual_traffic
 from .restart_scope import Scope
 from .settings import RecoverySettings
-from .snapshot import Clocks, Pinned, Snapshot, age, mark_of, pack, unpack
-from .snapshot_restore import recall
+from .snapshot import Clocks, Pinned, Snapshot, age, fleet_id, pack, unpack
+from .snapshot_restore import still_valid
 
 if TYPE_CHECKING:
     from ..config import Address
@@ -34,7 +34,7 @@
 Place = tuple[i.Server, "Address | None"]
 
 
-class Kept(Protocol):
+class SnapshotSource(Protocol):
     """The front whose state is kept."""
 
     router: Router
@@ -46,20 +46,22 @@
         """What a process after this one goes on from."""
 
 
-class Keeper:
+class SnapshotStore:
     def __init__(
         self, loop: Loop, settings: RecoverySettings, module: i.Settings, names: Names, seed: int
     ) -> None:
         self._loop, self._settings, self._names = loop, settings, names
-        self._fleet = mark_of(module, names)
+        self._fleet = fleet_id(module, names)
         self._boot = self._read_boot()
         random = Random(f"recovery {seed}")
         self.recovery = Recovery(settings, module, loop.now, random, loop.log)
         self._roles = module.roles
-        self._speaker = peer_messages.Speaker(module.instances, random, loop.now) if module.may_tell else None
+        self._speaker = (
+            peer_messages.MessageSchedule(module.instances, random, loop.now) if module.may_tell else None
+        )
         self._tell: Callable[[bytes], None] = lambda data: None
         self._timer, self._writing = Timer(loop), Timer(loop)
-        self._kept: Kept | None = None
+        self._kept: SnapshotSource | None = None
         self._steps: Iterator[None] | None = None  # of a snapshot that is being written
         self._recalled = False
         self._drains: frozenset[int] = frozenset()  # that the latest snapshot knows of
@@ -90,7 +92,7 @@
         for data in self._generations.read():
             try:
                 found = unpack(data, self._fleet)
-            except FormError as error:
+            except DecodeError as error:
                 self._loop.log("snapshot passed over", str(error))
                 continue
             old = age(found, self._clocks())
@@ -105,7 +107,7 @@
 
     def _remember(self, found: Snapshot, old: float) -> None:
         wrote = -math.inf if math.isnan(old) else self._loop.now - old
-        before = [server for server, _ in servers(found.state.servers)]
+        before = [server for server, _ in from_listed(found.state.servers)]
         # Starts are told on the clock of that run of the machine; on ours they lie elsewhere.
         shift = self._shift(found, wrote)
         moved = tuple(
@@ -113,10 +115,14 @@
             for server in before
         )
         boot = found.boot == self._boot if self._boot and found.boot else None
-        self.recovery.remember(Past(wrote, boot, math.isnan(old), found.state.generation, moved))
+        self.recovery.load_previous_run(
+            PreviousRun(wrote, boot, math.isnan(old), found.state.generation, moved)
+        )
         if found.turns > 0:
             of = {role: [s.id for s in before if self._roles[s.kind] is role] for role in Role}
-            self.recovery.expect(usual(found.turns, of, found.state.module.work, found.state.at))
+            self.recovery.set_usual_traffic(
+                usual_traffic(found.turns, of, found.state.module.work, found.state.at)
+            )
 
     @staticmethod
     def _shift(found: Snapshot, wrote: float) -> float:
@@ -125,7 +131,7 @@
     def begin(self, known: tuple[i.Server, ...]) -> tuple[Place, ...]:
         """The workers to begin with: what the configuration and the snapshot say together, and where those
         are that only the snapshot has."""
-        places = dict(servers(self._old.state.servers)) if self._old is not None else {}
+        places = dict(from_listed(self._old.state.servers)) if self._old is not None else {}
         found = {server.id: place for server, place in places.items()}
         return tuple((s, found.get(s.id)) for s in self.recovery.begin(known, self._loop.now))
 
@@ -141,7 +147,7 @@
 
     # ---- while it serves ----
 
-    def attend(self, kept: Kept, tell: Callable[[bytes], None]) -> None:
+    def start(self, kept: SnapshotSource, tell: Callable[[bytes], None]) -> None:
         """From now on; `tell` = to all other routers."""
         self._kept, self._tell = kept, tell
         self._look()
@@ -158,7 +164,7 @@
             word = peer_messages.unpack(data)
         except ValueError as error:
             return self._loop.log("word of a router passed over", f"router {sender}: {error}")
-        self.recovery.heard(sender, word, self._loop.now)
+        self.recovery.message_received(sender, word, self._loop.now)
         if word.asks and self._speaker is not None:
             self._speaker.asked(self._loop.now)
         return None
@@ -169,7 +175,7 @@
         if self._speaker is not None:
             asks = self._speaker.due(now, self.recovery.active)
             if asks is not None:
-                self._tell(peer_messages.pack(self.recovery.word(asks, now)))
+                self._tell(peer_messages.pack(self.recovery.message(asks, now)))
         if gone := self.recovery.missed(now):
             self._loop.log("workers gone", f"{len(gone)} that the register left out, and nobody has met")
             self._kept.router.listed(ListKind.CHANGES, gone)
@@ -180,7 +186,7 @@
 
     def _recall(self) -> None:
         """Once it is judged who was lost, let the module know what of before still holds."""
-        scope = self.recovery.verdict.scope
+        scope = self.recovery.scope_estimate.scope
         if self._recalled or self._old is None or scope is Scope.UNKNOWN:
             return
         assert self._kept is not None
@@ -188,8 +194,8 @@
         old = age(self._old, self._clocks())
         wrote = -math.inf if math.isnan(old) else self._loop.now - old
         shift = self._shift(self._old, wrote)
-        holds = recall(self._old.state.module, scope, shift, wrote, self._loop.now)
-        self._kept.router.remind(holds)
+        holds = still_valid(self._old.state.module, scope, shift, wrote, self._loop.now)
+        self._kept.router.merge_learned_state(holds)
         told = f"{len(holds.sessions)} of {len(self._old.state.module.sessions)} sessions"
         self._loop.log("recalled", f"{told}, {len(holds.servers)} workers' paces")
 
@@ -202,9 +208,9 @@
         try:
             data = pack(self._snapshot(self._kept))
             if len(data) > self._settings.most_bytes:
-                raise FormError(f"{len(data)} bytes, at most {self._settings.most_bytes} are to be kept")
+                raise DecodeError(f"{len(data)} bytes, at most {self._settings.most_bytes} are to be kept")
             steps = self._generations.write(data)
-        except (FormError, TypeError, ValueError) as error:
+        except (DecodeError, TypeError, ValueError) as error:
             self._loop.log("snapshot not made", str(error))
             return self._writing.set(self._settings.every, self._write)
         self._steps = steps
@@ -226,9 +232,9 @@
         cost += time.perf_counter() - began
         return self._writing.set(0.0, lambda: self._step(steps, cost))
 
-    def _snapshot(self, kept: Kept) -> Snapshot:
+    def _snapshot(self, kept: SnapshotSource) -> Snapshot:
         levels, clocks = kept.levels, self._clocks()
-        turns = levels.usual(self._loop.now) if levels is not None else 0.0
+        turns = levels.turn_rate(self._loop.now) if levels is not None else 0.0
         if self.recovery.active and self._old is not None:
             turns = self._old.turns  # what is usual shows in full service only
         pin = levels.ladder.pin if levels is not None else None
--- a/yewhook/service.py
+++ b/yewhook/service.py
@@ -15,8 +15,8 @@
 from .config import Address, ConfigError, Limits
 from .log import Log
 from .loop import Loop, Timer
-from .operations.instance import Event, Instance, Posture, State, step
-from .transient_errors import insist, is_short
+from .operations.instance import Event, FrontMode, Instance, State, step
+from .transient_errors import is_transient, retry_transient
 
 OWN_FILES = 16  # of the limit on descriptors: standard streams, listeners, the selector, the wake-up pair
 WORKERS_PART = 3  # one part in so many is kept free of clients, for what they ask for
@@ -47,7 +47,7 @@
 
 def listen(address: Address) -> socket.socket:
     """A socket that listens at an address; for a process's start. Raises OSError."""
-    listener = insist(lambda: socket.socket(socket.AF_INET, socket.SOCK_STREAM))
+    listener = retry_transient(lambda: socket.socket(socket.AF_INET, socket.SOCK_STREAM))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind(address)
     listener.listen(BACKLOG)
@@ -55,16 +55,16 @@
     return listener
 
 
-class Room:
+class ResourceBudget:
     """What may still be opened or held: clients leave some sockets for what they ask for."""
 
     def __init__(self, loop: Loop, limits: Limits, kept: int = 0) -> None:
         """`kept` = descriptors that neither clients nor workers get."""
         self._loop, self._sockets = loop, limits.sockets
         self._most = self._whole = limits.sockets - OWN_FILES - kept
-        self.for_bodies = limits.memory // BODIES_PART  # bytes
+        self.body_bytes = limits.memory // BODIES_PART  # bytes
 
-    def share(self, shared: bool) -> None:
+    def set_shared(self, shared: bool) -> None:
         """Leave a half to the other process of this instance, as far as it is not in use already."""
         half = self._whole // 2
         self._most = max(half, min(self._whole, self._loop.sockets + OWN_FILES)) if shared else self._whole
@@ -100,7 +100,7 @@
     def waiting_since(self) -> float:
         """Since when a connection that is accepted now may have waited, with its request, in the kernel's
         queue (the loop's clock)."""
-        return self._empty_at if self._left else max(self._empty_at, self._loop.looked_at)
+        return self._empty_at if self._left else max(self._empty_at, self._loop.previous_poll_at)
 
     def _leave(self) -> None:
         self._empty_at, self._left = self.waiting_since, True
@@ -159,10 +159,10 @@
 
 class Front(Protocol):
     grace: float  # s that what it has taken may need to end
-    lasts: float  # s for which it may still take what comes, once it is told to end
+    accept_after_term: float  # s for which it may still take what comes, once it is told to end
 
     @property
-    def able(self) -> bool:
+    def has_workers(self) -> bool:
         """Whether it knows of anybody who could do the work."""
 
     def reload(self) -> Callable[[], str]:
@@ -175,13 +175,13 @@
     def busy(self) -> bool:
         """Whether something that was taken is not finished."""
 
-    def take(self, posture: Posture) -> None:
+    def set_mode(self, mode: FrontMode) -> None:
         """Go on as the instance's new state asks."""
 
-    def thin_out(self, part: float) -> None:
+    def move_streams(self, part: float) -> None:
         """Move that part of the streams that still run, where their clients can go on elsewhere."""
 
-    def break_off(self) -> None:
+    def end_all(self) -> None:
         """Answer what waits and end the streams that still run: the process is about to go."""
 
     def close(self) -> None: ...
@@ -191,17 +191,19 @@
     def __init__(self, log: Log, loop: Loop | None = None) -> None:
         self.log, self.loop = log, loop or Loop(log)
         self.fronts: list[Front] = []
-        self.files: list[Callable[[], Callable[[], str]]] = []  # read anew with the fronts' configurations
+        self.reloaders: list[
+            Callable[[], Callable[[], str]]
+        ] = []  # read anew with the fronts' configurations
         self.instance = Instance(State.STARTING)
         self._began = self.loop.now
         self._settled = Timer(self.loop)
         self._end_at = 0.0
         self._wake: tuple[FileIO, FileIO] | None = None
 
-    def heed_signals(self) -> None:
+    def handle_signals(self) -> None:
         """Drain at SIGTERM and SIGINT, reload at SIGHUP; to be called before anything is taken."""
         # A pipe and no pair of sockets: those are of the Unix kind, which the platform does not grant.
-        read_end, write_end = insist(os.pipe)
+        read_end, write_end = retry_transient(os.pipe)
         for end in (read_end, write_end):
             os.set_blocking(end, False)
         wake_read, wake_write = self._wake = FileIO(read_end), FileIO(write_end, "w")
@@ -222,13 +224,13 @@
         """Serve as soon as there is a list of workers, or without one where none comes."""
         self._began = self.loop.now
         for front in self.fronts:
-            front.take(self.instance.posture)
+            front.set_mode(self.instance.front_mode)
         self._look_whether_able()
 
     def _look_whether_able(self) -> None:
         if self.instance.state in (State.STARTING, State.SUCCEEDING):
-            if all(front.able for front in self.fronts) or self.loop.now - self._began >= ABLE_MOST:
-                return self.hear(Event.ABLE)
+            if all(front.has_workers for front in self.fronts) or self.loop.now - self._began >= ABLE_MOST:
+                return self.handle_event(Event.ABLE)
             self.loop.after(ABLE_EVERY, self._look_whether_able)
         return None
 
@@ -237,18 +239,18 @@
         if signal.SIGHUP in numbers:
             self.reload()
         if {signal.SIGTERM, signal.SIGINT} & set(numbers):
-            self.hear(Event.TERM)
+            self.handle_event(Event.TERM)
 
     def reload(self, tries: int = RELOAD_TRIES) -> None:
         """Put new configuration files in force: all of them, or none where one is not good.
 
         `tries` = how often a file may be read that cannot be opened for want of descriptors.
         """
-        self.hear(Event.RELOAD)
+        self.handle_event(Event.RELOAD)
         try:
-            ready = [read() for read in [*self.files, *(front.reload for front in self.fronts)]]
+            ready = [read() for read in [*self.reloaders, *(front.reload for front in self.fronts)]]
         except ConfigError as error:
-            if is_short(error) and tries > 1:
+            if is_transient(error) and tries > 1:
                 return self.loop.after(RELOAD_AGAIN, lambda: self.reload(tries - 1))
             self.log("reload refused", f"{error}; the configuration stays as it was")
             return None
@@ -256,7 +258,7 @@
         self.log("reloaded", changes or "nothing that can change while it runs has changed")
         return None
 
-    def hear(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """What moves the instance's state, and what follows from it."""
         before, self.instance = self.instance, step(self.instance, event)
         after = self.instance.state
@@ -264,12 +266,16 @@
             return
         self.log("state", f"{before.state.value} to {after.value}")
         for front in self.fronts:
-            front.take(self.instance.posture)
+            front.set_mode(self.instance.front_mode)
         self._settled.cancel()
-        lasts = min((front.lasts for front in self.fronts), default=0.0) if after is State.LASTING else 0.0
+        lasts = (
+            min((front.accept_after_term for front in self.fronts), default=0.0)
+            if after is State.LASTING
+            else 0.0
+        )
         if after in (State.DRAINING, State.ENDING, State.LASTING):
             wait = lasts if after is State.LASTING else KEEP_ACCEPTING
-            self._settled.set(wait, lambda: self.hear(Event.SETTLED))
+            self._settled.set(wait, lambda: self.handle_event(Event.SETTLED))
         if event is Event.TERM:
             grace = max((front.grace for front in self.fronts), default=0.0)
             whole = grace + KILLED_AFTER - LAST_MOMENT
@@ -297,11 +303,11 @@
         if looks < 1:
             return self.loop.after(max(0.0, self._end_at - self.loop.now), self._break_off)
         for front in self.fronts:
-            front.thin_out(1.0 / looks)
+            front.move_streams(1.0 / looks)
         return self.loop.after(THIN_OUT, self._thin_out)
 
     def _break_off(self) -> None:
         """The platform kills what still runs; a stream broken off first can go on at another router."""
         for front in self.fronts:
-            front.break_off()
+            front.end_all()
         self.loop.after(LAST_BYTES, self._stop)
--- a/yewhook/service_level_admin.py
+++ b/yewhook/service_level_admin.py
@@ -11,7 +11,7 @@
 
 from .config import Limits
 from .front import RouterFront
-from .levels.level import Level, Vitals
+from .levels.level import Level, ProcessHealth
 from .log import Log
 from .loop import Loop
 from .service_settings import ServiceSettings
@@ -24,26 +24,26 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-def resident(pid: int | str = "self") -> int:
+def resident_bytes(pid: int | str = "self") -> int:
     """Bytes of memory that a process holds."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
 
 
-class VitalSigns:
+class ProcessHealthMonitor:
     """Descriptors and memory in use, as parts of what the process may have."""
 
     def __init__(self, loop: Loop, limits: Limits) -> None:
         self._loop, self._limits = loop, limits
         self._looked, self._memory = -LOOK_EVERY, 0.0
 
-    def __call__(self) -> Vitals:
+    def __call__(self) -> ProcessHealth:
         if self._loop.now - self._looked >= LOOK_EVERY:
             self._looked = self._loop.now
-            self._memory = resident() / self._limits.memory
-        return Vitals(self._loop.sockets / self._limits.sockets, self._memory)
+            self._memory = resident_bytes() / self._limits.memory
+        return ProcessHealth(self._loop.sockets / self._limits.sockets, self._memory)
 
 
-class Oversight:
+class ServiceLevelAdmin:
     """What operators see and set of the levels at one router, on all its fronts alike."""
 
     def __init__(
@@ -56,7 +56,7 @@
         read_again: Callable[[], ServiceSettings],
     ) -> None:
         self.log, self._loop, self._fronts = log, loop, fronts
-        self._vitals, self._read_again = VitalSigns(loop, limits), read_again
+        self._vitals, self._read_again = ProcessHealthMonitor(loop, limits), read_again
         self._settings = ServiceSettings()
         self.put_in_force(settings)
 
@@ -73,7 +73,7 @@
 
     def put_in_force(self, settings: ServiceSettings) -> None:
         self._settings = settings
-        self.log.use(settings.log)
+        self.log.set_format(settings.log)
         for front in self._fronts:
             front.set_levels(settings.levels, self._vitals, self._changed)
         pin = settings.pin
@@ -115,8 +115,8 @@
     def report(self) -> dict[str, Any]:
         """Each front's level and recovery, for operators; None where they are off."""
         now = self._loop.now
-        levels = {front.whose: front.levels for front in self._fronts}
-        recoveries = {front.whose: front.recovery for front in self._fronts}
+        levels = {front.front_name: front.levels for front in self._fronts}
+        recoveries = {front.front_name: front.recovery for front in self._fronts}
         return {
             "levels": {whose: one.report(now) if one else None for whose, one in levels.items()},
             "recovery": {whose: one.report(now) if one else None for whose, one in recoveries.items()},
--- a/yewhook/service_settings.py
+++ b/yewhook/service_settings.py
@@ -7,7 +7,7 @@
 
 from .levels.level import Level
 from .levels.settings import LevelsSettings
-from .log import Form
+from .log import LogFormat
 
 if TYPE_CHECKING:
     from .recovery.settings import RecoverySettings
@@ -24,7 +24,7 @@
 class ServiceSettings:
     """The defaults are what holds without a file."""
 
-    log: Form = Form.CONSOLE
+    log: LogFormat = LogFormat.CONSOLE
     levels: LevelsSettings = field(default_factory=LevelsSettings)
     pin: PinSetting | None = None
     recovery: RecoverySettings | None = None  # None = off
--- a/yewhook/settings_file.py
+++ b/yewhook/settings_file.py
@@ -14,7 +14,7 @@
 from .config import ConfigError, toml
 from .levels.level import SIGNALS, Level
 from .levels.settings import LevelSettings, LevelsSettings, Mode, Threshold
-from .log import Form
+from .log import LogFormat
 from .service_settings import PinSetting, ServiceSettings
 
 if TYPE_CHECKING:
@@ -108,7 +108,9 @@
         if recovery is not None and file.levels.mode != "on":
             mode = file.levels.mode
             raise ValueError(f"levels.mode: got {mode!r}, expected 'on', for recovery.mode is 'on'")
-        return ServiceSettings(Form(file.log.form), _levels(file.levels), _pin(file.levels.pin), recovery)
+        return ServiceSettings(
+            LogFormat(file.log.form), _levels(file.levels), _pin(file.levels.pin), recovery
+        )
     except msgspec.ValidationError as error:
         raise ConfigError(f"{path}: {_plain(str(error), raw)}") from None
     except ValueError as error:
--- a/yewhook/start_times.py
+++ b/yewhook/start_times.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class MessageTimes:
     """When a message of discovery has come, and the one before it. s of the loop's clock."""
 
     now: float = math.inf  # where nothing is known of it, no start is too late
@@ -29,7 +29,7 @@
         self._offset = unix_offset
         self._known: dict[int, tuple[float, float | None]] = {}  # server -> Unix time, the loop's clock
 
-    def read(self, server: int, unix: float, told: Told) -> float | None:
+    def read(self, server: int, unix: float, told: MessageTimes) -> float | None:
         """A server's last start in s of the loop's clock, None for long ago.
 
         `unix` = in Unix s; 0 for long ago.
@@ -41,7 +41,7 @@
         self._known[server] = unix, started
         return started
 
-    def _within(self, started: float, told: Told) -> float:
+    def _within(self, started: float, told: MessageTimes) -> float:
         if started < told.before - LATE:
             return told.before
         return min(started, told.now)
--- a/yewhook/toolcalls/clients.py
+++ b/yewhook/toolcalls/clients.py
@@ -8,7 +8,7 @@
 
 from hopshed.interface import RequestArrived
 
-from ..arrival_time import UnreadSince
+from ..arrival_time import ArrivalTime
 from ..config import Names
 from ..core.ending import Ending
 from ..core.router import Router
@@ -100,7 +100,7 @@
     def __init__(self, front: ClientFront, sock: socket.socket) -> None:
         self.front = front
         self.exchanges: dict[Id, Exchange] = {}
-        self._unread_since = UnreadSince(front.loop, front.waiting_since())
+        self._unread_since = ArrivalTime(front.loop, front.waiting_since())
         self.peer = Peer.accepted(front.loop, sock, self)
         self.slow_reader = SlowReader(front.loop, lambda: self.peer.channel.unsent, self._stalled)
 
@@ -116,8 +116,8 @@
     def unread(self) -> bool:
         return self.peer.unread
 
-    def hang_up(self) -> None:
-        self.peer.hang_up()
+    def close_gracefully(self) -> None:
+        self.peer.close_gracefully()
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
         if method == "ping":
@@ -139,14 +139,14 @@
             exchange = self.exchanges.get(asked)
             if exchange is not None:
                 self.done(exchange)
-                peer.open.discard(asked)
+                peer.open_requests.discard(asked)
                 self.front.router.client_left(exchange.id)
 
     def done(self, exchange: Exchange) -> None:
         self.exchanges.pop(exchange.asked, None)
         self.peer.idle_since = self.front.loop.now
-        if self.front.posture.closing and not self.exchanges:
-            self.front.loop.after(0.0, self.peer.hang_up)
+        if self.front.mode.close_idle and not self.exchanges:
+            self.front.loop.after(0.0, self.peer.close_gracefully)
 
     def slow(self, peer: Peer, slow: bool) -> None:
         for exchange in list(self.exchanges.values()):
--- a/yewhook/toolcalls/fleet.py
+++ b/yewhook/toolcalls/fleet.py
@@ -9,7 +9,7 @@
 
 from ..dnssd import Records, RecordsError, ServiceInstance
 from ..loop import Loop
-from ..worker_list import Registry
+from ..worker_list import WorkerList
 
 LOOK_EVERY = 0.5  # s
 
@@ -34,11 +34,11 @@
         loop: Loop,
         records: Records,
         service: str,
-        registry: Registry,
+        worker_list: WorkerList,
         listed: Callable[[i.ListKind, tuple[i.Server, ...]], None],
     ) -> None:
         self._loop, self._records, self._service = loop, records, service
-        self._registry, self._listed = registry, listed
+        self._worker_list, self._listed = worker_list, listed
         self.looked = loop.now  # when the records were last found good
         self._read(i.ListKind.SAVED)
         loop.after(LOOK_EVERY, self._look)
@@ -59,4 +59,4 @@
 
     def _read(self, kind: i.ListKind) -> None:
         entries = [entry(instance) for instance in self._records.browse(self._service)]
-        self._listed(kind, self._registry.read({"reset": True, "instances": entries}))
+        self._listed(kind, self._worker_list.read({"reset": True, "instances": entries}))
--- a/yewhook/toolcalls/front.py
+++ b/yewhook/toolcalls/front.py
@@ -8,7 +8,7 @@
 from ..dnssd import Records, RecordsError, ServiceInstance
 from ..front import RouterFront
 from ..loop import Loop
-from ..service import Room
+from ..service import ResourceBudget
 from .clients import ClientFront
 from .config import ToolCallsConfig
 from .fleet import Fleet
@@ -18,13 +18,13 @@
 
 
 class ToolCallsFront(RouterFront):
-    whose = "toolcalls"
+    front_name = "toolcalls"
 
     def __init__(
         self,
         loop: Loop,
         config: ToolCallsConfig,
-        room: Room,
+        room: ResourceBudget,
         seed: int,
         read_again: Callable[[], ToolCallsConfig],
     ) -> None:
@@ -44,12 +44,12 @@
             pool,
             tools,
             config.names.columns,
-            self.registry,
+            self.worker_list,
             self.releases.release,
             config.worker_silence,
         )
         self.route(workers, seed)
-        self._fleet = Fleet(loop, self._records, config.worker_service, self.registry, self.router.listed)
+        self._fleet = Fleet(loop, self._records, config.worker_service, self.worker_list, self.router.listed)
         self.clients = ClientFront(loop, self.router, config.names)
         self.open(self.clients, config.listen, room, "tool-calls")
 
@@ -57,7 +57,7 @@
         return self._records.browse(self._config.tool_service)
 
     @property
-    def register_age(self) -> float:
+    def discovery_age(self) -> float:
         return self.loop.now - self._fleet.looked
 
     def reload(self) -> Callable[[], str]:
--- a/yewhook/toolcalls/peers.py
+++ b/yewhook/toolcalls/peers.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ..config import Address
-from ..connection_pool import Pool
+from ..connection_pool import ConnectionPool
 from ..jsonrpc import Code, Id, Peer, RpcError
 from ..loop import Loop
 
@@ -30,7 +30,7 @@
 NOBODY = Nobody()
 
 
-class PeerPool(Pool[Peer]):
+class PeerPool(ConnectionPool[Peer]):
     def __init__(
         self, loop: Loop, room: Callable[[], bool], connect_timeout: float, idle_limit: float
     ) -> None:
@@ -44,13 +44,13 @@
         peer.handler = NOBODY
         if peer.channel.closed:
             return
-        if peer.open or peer.channel.unsent:
-            peer.hang_up()
+        if peer.open_requests or peer.channel.unsent:
+            peer.close_gracefully()
         else:
             self.keep(peer)
 
     @staticmethod
-    def hang_up(peer: Peer) -> None:
+    def close_gracefully(peer: Peer) -> None:
         """End a connection whose exchange was given up; what is written last still goes out."""
         peer.handler = NOBODY
-        peer.hang_up()
+        peer.close_gracefully()
--- a/yewhook/toolcalls/tools.py
+++ b/yewhook/toolcalls/tools.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..dnssd import ServiceInstance, in_order
-from ..jsonrpc import Code, Id, Lost, Peer, RpcError
+from ..jsonrpc import Code, ConnectionLost, Id, Peer, RpcError
 from ..loop import Loop
 from .endings import of_tool
 from .peers import PeerPool
@@ -50,11 +50,11 @@
         if self._over or self._peer is None:
             return
         peer, self._peer = self._peer, None
-        if isinstance(error, Lost) and not error.sent:
+        if isinstance(error, ConnectionLost) and not error.sent:
             return self.next()
         # After a time-out a late reply could still come, so the connection is not used again.
         clean = error is None or error.__class__ is RpcError
-        self.tools.pool.give_back(peer) if clean else self.tools.pool.hang_up(peer)
+        self.tools.pool.give_back(peer) if clean else self.tools.pool.close_gracefully(peer)
         if error is not None:
             error = of_tool(error, self.name)
             self.tools.loop.log("tool call failed", f"{error.code} {error.message}")
@@ -70,7 +70,7 @@
         self._over = True
         if self._peer is not None:
             self._peer.cancel(self._asked, reason)
-            self.tools.pool.hang_up(self._peer)
+            self.tools.pool.close_gracefully(self._peer)
             self._peer = None
 
 
--- a/yewhook/toolcalls/workers.py
+++ b/yewhook/toolcalls/workers.py
@@ -8,11 +8,11 @@
 from .. import load_reports
 from ..config import Address
 from ..core.ending import Ending
-from ..front import AttemptsOut, Release
-from ..jsonrpc import Code, Id, Late, Peer, RpcError
+from ..front import PendingAttempts, Release
+from ..jsonrpc import Code, Id, Peer, RequestTimedOut, RpcError
 from ..loop import Loop
 from ..releases import Done
-from ..worker_list import Registry
+from ..worker_list import WorkerList
 from .endings import of_worker
 from .peers import PeerPool
 from .tools import ToolCall, Tools
@@ -42,7 +42,7 @@
     def begin(self, address: Address, params: dict[str, Any], within: float) -> None:
         """Raises OSError where there is no connection."""
         self.peer = peer = self.workers.pool.take(address)
-        peer.hurry(within)
+        peer.limit_connect_time(within)
         peer.handler = self
         self.asked = peer.ask("chat/completions", params, self._replied)
 
@@ -82,13 +82,13 @@
         if isinstance(call_id, str | int) and (call := self._calls.pop(call_id, None)) is not None:
             call.cancel("withdrawn by the worker")
             if self.peer is not None:
-                self.peer.open.discard(call_id)
+                self.peer.open_requests.discard(call_id)
             shown = {"callId": call_id, "error": WITHDRAWN.as_object()}
             self._show(Shown("notifications/tool_result", shown))
 
     def _show(self, shown: Shown) -> bool:
         self._heard = self.workers.loop.now
-        passed = self.workers.told.event(self.request_id, self.number, shown)
+        passed = self.workers.listener.event(self.request_id, self.number, shown)
         if passed and not self._streaming:
             self._streaming = True
             self._watch()
@@ -124,8 +124,8 @@
             return self.workers.end(self, of_worker(error))
         body = result if isinstance(result, dict) else {}
         ending = Ending.READ if body.get("read") is True else Ending.SERVED
-        load = load_reports.load(body.get("load"), self.workers.columns)
-        return self.workers.end(self, ending, load_reports.count(body.get("cachedTokens")), load)
+        load = load_reports.parse_load(body.get("load"), self.workers.columns)
+        return self.workers.end(self, ending, load_reports.token_count(body.get("cachedTokens")), load)
 
     # ---- giving up ----
 
@@ -137,7 +137,7 @@
             return False
         written = peer.written
         peer.cancel(self.asked, reason)
-        self.workers.pool.hang_up(peer)
+        self.workers.pool.close_gracefully(peer)
         return written
 
     def pause(self, paused: bool) -> None:
@@ -150,7 +150,7 @@
 
     @property
     def on_its_way(self) -> bool:
-        return self.peer is not None and self.peer.up
+        return self.peer is not None and self.peer.is_connected
 
     def _drop_calls(self, reason: str) -> None:
         calls, self._calls = self._calls, {}
@@ -159,7 +159,7 @@
                 call.cancel(reason)
 
 
-class RpcWorkers(AttemptsOut[WorkerAttempt]):
+class RpcWorkers(PendingAttempts[WorkerAttempt]):
     """The core's `Workers` over JSON-RPC."""
 
     def __init__(
@@ -168,11 +168,11 @@
         pool: PeerPool,
         tools: Tools,
         columns: tuple[str, ...],
-        registry: Registry,
+        worker_list: WorkerList,
         release: Release,
         silence: float,
     ) -> None:
-        super().__init__(loop, registry, release)
+        super().__init__(loop, worker_list, release)
         self.pool, self.tools, self.columns, self.silence = pool, tools, columns, silence
 
     def send(
@@ -189,13 +189,13 @@
     peer = pool.take(address)
 
     def replied(result: Any, error: RpcError | None) -> None:
-        pool.give_back(peer) if not isinstance(error, Late) else pool.hang_up(peer)
+        pool.give_back(peer) if not isinstance(error, RequestTimedOut) else pool.close_gracefully(peer)
         done(error is None)
 
     asked = peer.ask("reservations/release", {"requestId": request_id}, replied)
 
     def give_up() -> None:
         peer.cancel(asked, "no reply in time")
-        pool.hang_up(peer)
+        pool.close_gracefully(peer)
 
     return give_up
--- a/yewhook/transient_errors.py
+++ b/yewhook/transient_errors.py
@@ -14,17 +14,19 @@
 from .config import ConfigError
 
 T = TypeVar("T")
-SHORT = frozenset({errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR})
-AGAIN, PATIENCE = 0.05, 5.0  # s between tries, and for all of them
+TRANSIENT_ERRNOS = frozenset(
+    {errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR}
+)
+RETRY_INTERVAL_S, RETRY_TIMEOUT_S = 0.05, 5.0  # s between tries, and for all of them
 
 
-def is_short(error: BaseException | None) -> bool:
+def is_transient(error: BaseException | None) -> bool:
     """Whether a call failed for want of something that may be there in a moment."""
     cause = error.__cause__ if isinstance(error, ConfigError) else error
-    return isinstance(cause, OSError) and cause.errno in SHORT
+    return isinstance(cause, OSError) and cause.errno in TRANSIENT_ERRNOS
 
 
-def insist(
+def retry_transient(
     call: Callable[[], T],
     clock: Callable[[], float] = time.monotonic,
     sleep: Callable[[float], None] = time.sleep,
@@ -33,11 +35,11 @@
 
     Raises what the call raises.
     """
-    end = clock() + PATIENCE
+    end = clock() + RETRY_TIMEOUT_S
     while True:
         try:
             return call()
         except (OSError, ConfigError) as error:
-            if not is_short(error) or clock() >= end:
+            if not is_transient(error) or clock() >= end:
                 raise
-        sleep(AGAIN)
+        sleep(RETRY_INTERVAL_S)
--- a/yewhook/worker_list.py
+++ b/yewhook/worker_list.py
@@ -10,7 +10,7 @@
 
 from .config import Address, ConfigError, Names, address
 from .log import Log
-from .start_times import StartTimes, Told
+from .start_times import MessageTimes, StartTimes
 
 STATES = {
     "up": i.ServerState.RUNNING,
@@ -18,7 +18,7 @@
     "removed": i.ServerState.GONE,
 }
 
-NO_TIMES = Told()
+NO_TIMES = MessageTimes()
 
 
 def server_id(instance: str) -> int:
@@ -26,7 +26,7 @@
     return int.from_bytes(blake2b(instance.encode(), digest_size=6).digest(), "big")
 
 
-class Registry:
+class WorkerList:
     """Translates discovery's entries into the module's servers, and keeps their addresses."""
 
     def __init__(self, names: Names, unix_offset: float, log: Log) -> None:
@@ -36,7 +36,7 @@
         self.addresses: dict[int, Address] = {}
         self.states: dict[int, i.ServerState] = {}
 
-    def entry(self, raw: dict[str, Any], told: Told) -> i.Server:
+    def entry(self, raw: dict[str, Any], told: MessageTimes) -> i.Server:
         """One entry of a list. Raises KeyError, TypeError, ValueError, OverflowError or AttributeError."""
         number = server_id(str(raw["instanceId"]))
         started = float(raw.get("startedAtMs") or 0.0)
@@ -51,7 +51,7 @@
             float(raw.get("weight") or 1.0),
         )
 
-    def read(self, message: dict[str, Any], told: Told = NO_TIMES) -> tuple[i.Server, ...]:
+    def read(self, message: dict[str, Any], told: MessageTimes = NO_TIMES) -> tuple[i.Server, ...]:
         """The servers of a list or of changes; an entry that makes no sense must not hide the others."""
         servers = []
         for raw in message.get("instances") or []:
--- a/yewlab/fleet.py
+++ b/yewlab/fleet.py
@@ -10,7 +10,7 @@
 from hopshed import interface as i
 from hopshed.interface import ListKind, Role, ServerState
 from yewhook.core.ending import Ending
-from yewhook.core.ports import Told
+from yewhook.core.ports import AttemptListener
 
 from .costs import Costs, whole_work
 from .engines import Engine, Job, Server
@@ -177,7 +177,7 @@
 class RouterWorkers:
     """One router's way to the fleet: the core's `Workers`."""
 
-    told: Told
+    told: AttemptListener
 
     def __init__(self, fleet: Fleet, router: int) -> None:
         self.fleet, self.router = fleet, router
--- a/yewlab/levels.py
+++ b/yewlab/levels.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from hopshed.interface import Role
-from yewhook.levels.governor import LOOK
+from yewhook.levels.governor import EVALUATION_INTERVAL_S
 from yewhook.levels.ladder import Ladder
 from yewhook.levels.level import Level, Signals
 from yewhook.levels.settings import LevelsSettings, Mode
@@ -159,8 +159,8 @@
     wave = _wave(random)
     ladder = Ladder(ON, random.random(), 0.0)
     changes, seen = 0, []
-    for look in range(int(seconds / LOOK)):
-        now = look * LOOK
+    for look in range(int(seconds / EVALUATION_INTERVAL_S)):
+        now = look * EVALUATION_INTERVAL_S
         swung = max(0.0, wave(now) + random.gauss(0.0, NOISE))
         seen.append(swung)
         changes += ladder.step(now, Signals(**{name: threshold * swung})) is not None
--- a/yewlab/lists.py
+++ b/yewlab/lists.py
@@ -13,7 +13,7 @@
 from hopshed.control import Controller
 from yewhook.config import translate
 from yewhook.log import Log
-from yewhook.worker_list import Registry
+from yewhook.worker_list import WorkerList
 
 REPEATS = 25
 CHANGED_PART, CELL = 5, 6  # one entry in so many changes its state each time; workers of a cell
@@ -33,7 +33,7 @@
     raw = json.loads((Path(__file__).parents[1] / "deploy" / "settings.json").read_text())
     settings, names = translate(raw | {"instances": routers})
     for size in sizes:
-        registry, module = Registry(names, 0.0, Log("lab")), Controller(settings, 1)
+        worker_list, module = WorkerList(names, 0.0, Log("lab")), Controller(settings, 1)
         entries = [
             {"instanceId": f"s-{n}", "hostPort": f"127.0.0.1:{1024 + n}", "cell": n // CELL,
              "lifecycle": "up",
@@ -46,7 +46,7 @@
                 entry["lifecycle"] = "draining" if repeat % 2 else "up"
             now, name = 100.0 + repeat, f"r{repeat}"
             began = time.perf_counter()
-            servers = registry.read({"reset": True, "instances": entries})
+            servers = worker_list.read({"reset": True, "instances": entries})
             module.handle(now, [i.ServersListed(i.ListKind.FULL, servers)])
             listed = time.perf_counter()
             module.handle(now, [i.RequestArrived(name, 0, 0, name, 5.0, 1000.0, max_tokens=200.0)])
--- a/yewlab/mass.py
+++ b/yewlab/mass.py
@@ -161,7 +161,7 @@
             return
         for number, one in enumerate(self.hosted):
             if number != sender and number not in self.dead:
-                hear = partial(one.router.peer_said, sender, data)
+                hear = partial(one.router.peer_message, sender, data)
                 self.sim.after(self.random.uniform(*HEARS), hear)
 
     # ---- what a script does ----
@@ -173,7 +173,7 @@
         self.dead.add(number)
         self.sim.deciders.remove(old.router)
         self.fleet.leave(number)
-        for life in list(old.router.lives.values()):
+        for life in list(old.router.requests.values()):
             self.rules.lost(life.id)
             old.router.client_left(life.id)
         if back_after is not None:
@@ -185,7 +185,7 @@
 
     def restart(self, number: int, back_after: float) -> None:
         """A router is at the end of its grace: what it still has is answered or broken off, then it ends."""
-        self.hosted[number].router.break_off()
+        self.hosted[number].router.end_all()
         self.sim.after(LAST_MOMENT, lambda: self.kill(number, back_after))
 
     def replace_worker(self, number: int) -> None:
--- a/yewlab/memory.py
+++ b/yewlab/memory.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from yewhook.service_level_admin import resident
+from yewhook.service_level_admin import resident_bytes
 
 STARTS, SETTLE = 5, 1.5  # processes of each kind; s until memory is read
 JSON_LINES = '[log]\nform = "json"\n[levels]\nmode = "on"\n'
@@ -61,7 +61,7 @@
                 break
         start = time.monotonic() - began
         time.sleep(SETTLE)
-        held = resident(process.pid) / (1 << 20)
+        held = resident_bytes(process.pid) / (1 << 20)
         process.send_signal(signal.SIGTERM)
         process.stderr.read()
         process.wait()
--- a/yewlab/power.py
+++ b/yewlab/power.py
@@ -13,9 +13,9 @@
 
 from hopshed import interface as i
 from hopshed.interface import ListKind, Role
-from yewhook.recovery.peer_messages import Speaker, unpack
+from yewhook.recovery.peer_messages import MessageSchedule, unpack
 from yewhook.recovery.peer_messages import pack as pack_word
-from yewhook.recovery.recovery import Past, Usual, usual
+from yewhook.recovery.recovery import PreviousRun, UsualTraffic, usual_traffic
 from yewhook.recovery.settings import RecoverySettings
 
 from .host import Hosted
@@ -70,8 +70,8 @@
     words: int = 0
     known: tuple[i.Server, ...] = ()  # what routers' configurations say, from before the loss
     register_back: bool = True
-    speakers: dict[int, Speaker] = field(default_factory=dict)
-    learnt: dict[int, Usual] = field(default_factory=dict)  # in routers' snapshots
+    speakers: dict[int, MessageSchedule] = field(default_factory=dict)
+    learnt: dict[int, UsualTraffic] = field(default_factory=dict)  # in routers' snapshots
 
     def __post_init__(self) -> None:
         self.script = draw(Random(f"power {self.seed}"))
@@ -119,12 +119,14 @@
         self.known = tuple(box.info for box in self.fleet.boxes.values())
         self.register_back = False
 
-    def _usual(self, one: Hosted) -> Usual:
+    def _usual(self, one: Hosted) -> UsualTraffic:
         """What its snapshot says of before."""
         assert one.governor is not None
         infos = [box.info for box in self.fleet.boxes.values()]
         of = {role: [s.id for s in infos if self.rules.settings.roles[s.kind] is role] for role in Role}
-        return usual(one.governor.usual(self.sim.now), of, one.router.known().work, self.sim.now)
+        return usual_traffic(
+            one.governor.turn_rate(self.sim.now), of, one.router.export_learned_state().work, self.sim.now
+        )
 
     def _start(self, number: int) -> None:
         one = self._host(number, joins=self.register_back)
@@ -138,8 +140,8 @@
         one = Mass._host(self, number, joins=False)
         if one.governor is not None and one.governor.recovery is not None and number in self.learnt:
             recovery, wrote = one.governor.recovery, self.lost_at - SNAPSHOT_AGE
-            recovery.remember(Past(wrote, False, False, GENERATION, self.known))
-            recovery.expect(self.learnt[number])
+            recovery.load_previous_run(PreviousRun(wrote, False, False, GENERATION, self.known))
+            recovery.set_usual_traffic(self.learnt[number])
         if joins:
             self.join(number, one)
         return one
@@ -168,7 +170,7 @@
         if governor is None or governor.recovery is None:
             return
         recovery, random = governor.recovery, Random(f"words {self.seed} {number} {self.sim.now}")
-        speaker = Speaker(self.routers, random, self.sim.now)
+        speaker = MessageSchedule(self.routers, random, self.sim.now)
         self.speakers[number] = speaker
 
         def look() -> None:
@@ -176,7 +178,7 @@
                 return
             asks = speaker.due(self.sim.now, recovery.active)
             if asks is not None:
-                self._say(number, pack_word(recovery.word(asks, self.sim.now)), random)
+                self._say(number, pack_word(recovery.message(asks, self.sim.now)), random)
             self.sim.after(0.1, look)
 
         self.sim.after(0.1, look)
@@ -192,7 +194,7 @@
         if number in self.dead or governor is None or governor.recovery is None:
             return
         word = unpack(data)
-        governor.recovery.heard(sender, word, self.sim.now)
+        governor.recovery.message_received(sender, word, self.sim.now)
         if word.asks and number in self.speakers:
             self.speakers[number].asked(self.sim.now)
 
--- a/yewlab/processes/power.py
+++ b/yewlab/processes/power.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hopshed.interface import Role
-from yewhook.operations.handover_encoding import FormError, unseal
+from yewhook.operations.handover_encoding import DecodeError, decode_checked
 from yewhook.recovery.snapshot import NAME, Snapshot, pack
 from yewhook.worker_list import server_id
 
@@ -238,8 +238,8 @@
             if "cut-snapshot" in faults:  # power failed while the next one was written
                 path.with_name("snapshot.new").write_bytes(data[: random.randrange(len(data))])
             try:
-                snapshot = unseal(NAME, "snapshot", data, Snapshot)
-            except FormError:
+                snapshot = decode_checked(NAME, "snapshot", data, Snapshot)
+            except DecodeError:
                 continue
             if "stale-snapshot" in faults and number == 0:
                 path.write_bytes(pack(replace(snapshot, wall=snapshot.wall - 3600.0)))
