--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -45,14 +45,14 @@
         self.said.append(f"{event}: {detail}")
 
     def listed(self, servers: tuple[i.Server, ...], generation: int, kind: ListKind = ListKind.FULL) -> Any:
-        merged = self.recovery.merge(kind, servers, generation, self.now)
+        merged = self.recovery.merge_list(kind, servers, generation, self.now)
         self.recovery.observe(i.ServersListed(kind, merged), self.now)
         return {s.id: s.state for s in merged}
 
     def look(self, seconds: float = 0.25, sight: dict[Role, RoleUsage] = SIGHT) -> Phase:
         for _ in range(round(seconds / 0.25)):
             self.now += 0.25
-            self.recovery.look(self.now, sight, 1.0)
+            self.recovery.update(self.now, sight, 1.0)
         return self.recovery.phase_state.phase
 
     def answered(self, number: int, outcome: Outcome = Outcome.OK) -> None:
@@ -149,12 +149,14 @@
     governor = Governor(
         MODULE, LevelsSettings(mode=Mode.ON), 1, 100.0, recovery=play.recovery
     )  # fmt: skip
-    merged = play.recovery.merge(ListKind.FULL, tuple(server(n, started=97.0) for n in range(6)), 41, 100.0)
-    heard = governor.before(100.5, [i.ServersListed(ListKind.FULL, merged)], lambda now: SIGHT)
+    merged = play.recovery.merge_list(
+        ListKind.FULL, tuple(server(n, started=97.0) for n in range(6)), 41, 100.0
+    )
+    heard = governor.filter_events(100.5, [i.ServersListed(ListKind.FULL, merged)], lambda now: SIGHT)
     told = [event for event in heard if isinstance(event, i.ServiceLevel)]
     assert told and told[0].name == "recovering" and told[0].retry_after[0] < told[0].retry_after[1]
     asks = [i.RequestArrived(f"r{cls}", cls, 0, f"s{cls}", 8.0, 800.0, max_tokens=400.0) for cls in (0, 1)]
-    lesser, worthiest = governor.before(100.6, list(asks), lambda now: SIGHT)
+    lesser, worthiest = governor.filter_events(100.6, list(asks), lambda now: SIGHT)
     assert isinstance(lesser, i.RequestArrived) and lesser.admit == 0.0
     assert isinstance(worthiest, i.RequestArrived) and worthiest.admit == 1.0
     assert governor.ladder.level.label == "full"
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -36,7 +36,7 @@
         return self.now
 
 
-class KeptLog(Log):
+class RecordingLog(Log):
     """Keeps the lines; a test can look for them."""
 
     def __init__(self) -> None:
@@ -132,7 +132,7 @@
     """A router's service, its parties, and the scenarios played on them."""
 
     def __init__(self, sayings: dict[str, Callable[..., bytes]]) -> None:
-        self.clock, self.log = Clock(), KeptLog()
+        self.clock, self.log = Clock(), RecordingLog()
         self.service = Service(self.log, Loop(self.log, self.clock))
         self.parties: dict[str, FakePeer] = {}
         self.sayings = sayings
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from scenario import KeptLog
+from scenario import RecordingLog
 from settings import ENV
 from typer.testing import CliRunner
 
@@ -55,7 +55,7 @@
     """An agent whose loop is turned by the test's own thread or, for the blocking calls, beside it."""
 
     def __init__(self, folder: Path, count: int = 2) -> None:
-        self.log, self.count = KeptLog(), count
+        self.log, self.count = RecordingLog(), count
         self.service = Service(self.log)
         self.fleet = read(self.write(folder))
         path = folder / "fleet.toml"
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from scenario import Clock, KeptLog
+from scenario import Clock, RecordingLog
 from test_platform import Platform, answer, begin, chunk
 
 from hopshed.interface import Load
@@ -17,7 +17,7 @@
 
 def fed(*parts: bytes) -> tuple[list[int], list[str], bool]:
     """What an exchange hears of an answer in these reads: its statuses, its end, and if it is kept."""
-    loop = Loop(KeptLog(), Clock())
+    loop = Loop(RecordingLog(), Clock())
     pool = WorkerPool(loop, lambda: True, 0.25, 30.0)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         connection = WorkerConnection(pool, listener.getsockname())
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -17,7 +17,7 @@
         backoff, at = Backoff(routers, Random(seed)), 0.0
         while at < span:
             each_second[int(at)] += 1
-            at += backoff.next()
+            at += backoff.next_delay()
     return each_second
 
 
@@ -29,15 +29,15 @@
 
 
 def test_those_that_failed_together_do_not_come_back_together() -> None:
-    waits = [Backoff(40, Random(seed)).next() for seed in range(40)]
+    waits = [Backoff(40, Random(seed)).next_delay() for seed in range(40)]
     tenths = Counter(int(10 * wait) for wait in waits)
     assert max(tenths.values()) <= 6
 
 
 def test_a_wait_is_bounded_however_many_routers_there_are_and_short_again_after_an_answer() -> None:
     backoff = Backoff(10_000, Random(1))
-    assert all(backoff.next() <= LONGEST * (1 + SPREAD) for _ in range(20))
+    assert all(backoff.next_delay() <= LONGEST * (1 + SPREAD) for _ in range(20))
     backoff = Backoff(4, Random(1))
-    worn = max(backoff.next() for _ in range(8))
-    backoff.begin()
-    assert backoff.next() < worn / 2
+    worn = max(backoff.next_delay() for _ in range(8))
+    backoff.reset()
+    assert backoff.next_delay() < worn / 2
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -77,15 +77,15 @@
 class Client:
     def __init__(self) -> None:
         self.heard: list[str] = []
-        self.left = False
+        self.disconnected = False
 
-    def pass_on(self, event: object) -> None:
+    def send_event(self, event: object) -> None:
         self.heard.append(f"event {event}")
 
     def finish(self) -> None:
         self.heard.append("finish")
 
-    def break_off(self, ending: Ending) -> None:
+    def abort_stream(self, ending: Ending) -> None:
         self.heard.append(f"break off {ending.name}")
 
     def refuse(self, retry_after: float) -> None:
@@ -163,7 +163,7 @@
         settings = wire.settings(ENV)
         self.router = Router(settings, 1, self.deadlines, lambda: self.now, self.workers, log)
         self.router._module = self.module  # type: ignore[assignment]
-        self.router.listed(i.ListKind.FULL, FLEET)
+        self.router.servers_listed(i.ListKind.FULL, FLEET)
 
     def take(self, cls: int = 0, request_id: str = "a") -> None:
         arrived = i.RequestArrived(request_id, cls, 0, "s", 8.0, 100.0)
@@ -179,7 +179,7 @@
 
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        for call in self.deadlines.due(self.now):
+        for call in self.deadlines.pop_due(self.now):
             call()
         self.do()
 
@@ -202,7 +202,7 @@
 def test_an_unsafe_request_that_may_have_run_is_not_repeated(c: Core, ending: Ending) -> None:
     c.take(cls=1)
     c.do(i.Send("a", WRITER, 1.0))
-    c.router.ended("a", 0, ending)
+    c.router.attempt_ended("a", 0, ending)
     c.do(i.Send("a", 3, 1.0))
     assert len(c.workers.sent) == 1
     # Refusing would tell the client that a repeat is harmless.
@@ -214,7 +214,7 @@
 def test_an_unsafe_request_that_never_ran_may_go_on(c: Core, ending: Ending) -> None:
     c.take(cls=1)
     c.do(i.Send("a", WRITER, 1.0))
-    c.router.ended("a", 0, ending)
+    c.router.attempt_ended("a", 0, ending)
     c.do(i.Send("a", 3, 1.0))
     assert len(c.workers.sent) == 2
 
@@ -222,7 +222,7 @@
 def test_an_attempt_at_a_reader_has_no_effect(c: Core) -> None:
     c.take(cls=1)
     c.do(i.Send("a", READER, 1.0))
-    c.router.ended("a", 0, Ending.BROKEN)
+    c.router.attempt_ended("a", 0, Ending.BROKEN)
     c.do(i.Refuse("a", 0.2))
     assert c.client.heard == ["refuse"]
 
@@ -255,11 +255,11 @@
 def test_a_stream_has_no_deadline_and_belongs_to_the_client(c: Core) -> None:
     c.take()
     c.do(i.Send("a", WRITER, 1.0))
-    assert c.router.event("a", 0, "x")
+    assert c.router.stream_event("a", 0, "x")
     c.wait(30.0)
     c.do(i.Send("a", 3, 1.0), i.CancelAttempt("a", 0))
     assert c.client.heard == ["event x"] and not c.workers.aborted and len(c.workers.sent) == 1
-    c.router.ended("a", 0, Ending.SERVED)
+    c.router.attempt_ended("a", 0, Ending.SERVED)
     c.do()
     assert c.client.heard == ["event x", "finish"] and c.outcomes() == [Out.NOT_SENT, Out.OK]
 
@@ -268,7 +268,7 @@
     # The module takes OK as the end of a request; without an event the client has no answer yet.
     c.take()
     c.do(i.Send("a", WRITER, 1.0))
-    c.router.ended("a", 0, Ending.SERVED)
+    c.router.attempt_ended("a", 0, Ending.SERVED)
     c.do()
     assert c.outcomes() == [Out.FAILED] and not c.client.heard
 
@@ -276,7 +276,7 @@
 def test_a_moved_stream_ends_its_attempt(c: Core) -> None:
     c.take()
     c.do(i.Send("a", WRITER, 1.0))
-    c.router.event("a", 0, "x")
+    c.router.stream_event("a", 0, "x")
     c.do(i.MoveStream("a"))
     assert c.client.heard[-1] == "break off MOVED" and c.workers.aborted == [("a", 0)]
     assert c.outcomes() == [Out.CANCELED] and not c.router.requests
@@ -285,7 +285,7 @@
 def test_a_state_that_nobody_takes_is_let_go_once_within_the_limit(c: Core) -> None:
     c.take()
     c.do(i.Send("a", READER, 1.0))
-    c.router.ended("a", 0, Ending.READ)
+    c.router.attempt_ended("a", 0, Ending.READ)
     c.do()
     c.wait(0.9)
     c.do(i.Refuse("a"))
@@ -297,7 +297,7 @@
     # It came again 5 ms after its end, had no attempts here, and could be refused as harmless or run anew.
     c.take(cls=1)
     c.do(i.Send("a", WRITER, 1.0))
-    c.router.ended("a", 0, ending)
+    c.router.attempt_ended("a", 0, ending)
     c.do(i.Fail("a"))
     again = i.RequestArrived("a", 1, 0, "s", 8.0, 100.0)
     ran = ending is not Ending.TURNED_AWAY
@@ -311,7 +311,7 @@
 def test_an_id_of_a_safe_request_is_taken_again(c: Core) -> None:
     c.take()
     c.do(i.Send("a", WRITER, 1.0))
-    c.router.ended("a", 0, Ending.GARBLED)
+    c.router.attempt_ended("a", 0, Ending.GARBLED)
     c.do(i.Fail("a"))
     assert c.router.accept(i.RequestArrived("a", 0, 0, "s", 8.0, 100.0), Client(), "call")
 
@@ -320,17 +320,17 @@
     # The state waited 0.65 s for a writer, and each of three connections took 0.25 s more: 1.40 s in all.
     c.take()
     c.do(i.Send("a", READER, 1.0))
-    c.router.ended("a", 0, Ending.READ)
+    c.router.attempt_ended("a", 0, Ending.READ)
     c.do()
     c.wait(0.6)
     c.do(i.Send("a", WRITER, 1.0))
     assert c.workers.begins[-1] == pytest.approx(0.2)
     c.wait(0.15)
-    c.router.ended("a", 1, Ending.CONNECT_SILENT)
+    c.router.attempt_ended("a", 1, Ending.CONNECT_SILENT)
     c.do(i.Send("a", 3, 1.0))
     assert c.workers.begins[-1] == pytest.approx(0.05)
     c.wait(0.05)
-    c.router.ended("a", 2, Ending.CONNECT_SILENT)
+    c.router.attempt_ended("a", 2, Ending.CONNECT_SILENT)
     c.do()
     c.wait(0.001)
     assert c.workers.released == ["a"] and c.workers.release_times[0] == pytest.approx((100.8, 101.0))
@@ -340,7 +340,7 @@
     """A read has ended at 100.0 and its state is on its way to a writer."""
     c.take()
     c.do(i.Send("a", READER, 1.0))
-    c.router.ended("a", 0, Ending.READ)
+    c.router.attempt_ended("a", 0, Ending.READ)
     c.do(i.Send("a", WRITER, 4.0))
 
 
@@ -348,7 +348,7 @@
 def test_an_answer_starts_the_time_of_a_state_anew(c: Core, ending: Ending) -> None:
     read_then_send(c)
     c.wait(0.7)
-    c.router.ended("a", 1, ending)
+    c.router.attempt_ended("a", 1, ending)
     c.do()
     c.wait(0.7)
     assert not c.workers.released
@@ -361,7 +361,7 @@
     # The attempt may never have reached the worker, and then it was never out.
     read_then_send(c)
     c.wait(0.7)
-    c.router.ended("a", 1, ending)
+    c.router.attempt_ended("a", 1, ending)
     c.do()
     c.wait(0.101)
     assert c.workers.released == ["a"] and c.workers.release_times[0][1] == pytest.approx(101.0)
@@ -375,7 +375,7 @@
     assert c.workers.released == ["a"] and c.workers.release_times[0] == pytest.approx((100.81, 101.0))
     assert i.StateReleased("a") in c.module.told
     assert not c.workers.aborted  # a writer that lives may have it, and answers yet
-    assert c.router.event("a", 1, "x") and c.client.heard == ["event x"]
+    assert c.router.stream_event("a", 1, "x") and c.client.heard == ["event x"]
     c.wait(5.0)
     assert c.workers.released == ["a"]
 
@@ -385,7 +385,7 @@
     # Letting go has no effect on a state that an attempt waits for: it is left when that attempt ends.
     read_then_send(c)
     c.wait(2.0)
-    c.router.ended("a", 1, ending)
+    c.router.attempt_ended("a", 1, ending)
     c.do()
     c.wait(0.81)
     assert c.workers.released == ["a", "a"] and c.workers.release_times[1][1] == pytest.approx(103.0)
@@ -397,7 +397,7 @@
 ) -> None:
     read_then_send(c)
     c.wait(0.81)
-    c.router.ended("a", 1, ending)
+    c.router.attempt_ended("a", 1, ending)
     c.do()
     c.wait(2.0)
     assert c.workers.released == ["a"]
@@ -420,7 +420,7 @@
 
 def test_a_read_waits_for_the_release_that_its_module_orders(c: Core) -> None:
     read_then_send(c)
-    c.router.ended("a", 1, Ending.STATE_GONE)
+    c.router.attempt_ended("a", 1, Ending.STATE_GONE)
     c.do(i.ReleaseState("a"), i.Send("a", READER, 4.0))
     assert len(c.workers.sent) == 2
     c.workers.confirms[0]()
@@ -429,7 +429,7 @@
 
 def test_a_read_does_not_wait_for_long_where_nobody_confirms_a_release(c: Core) -> None:
     read_then_send(c)
-    c.router.ended("a", 1, Ending.STATE_GONE)
+    c.router.attempt_ended("a", 1, Ending.STATE_GONE)
     c.do(i.ReleaseState("a"), i.Send("a", READER, 4.0))
     c.wait(RELEASE_FIRST + 0.01)
     assert c.workers.sent[2:] == [("a", 2, READER)]
@@ -440,12 +440,12 @@
 @pytest.mark.parametrize("ends", ["client leaves", "server drains"])
 def test_a_read_that_still_waits_is_not_sent_where_it_must_not_be(c: Core, ends: str) -> None:
     read_then_send(c)
-    c.router.ended("a", 1, Ending.STATE_GONE)
+    c.router.attempt_ended("a", 1, Ending.STATE_GONE)
     c.do(i.ReleaseState("a"), i.Send("a", READER, 4.0))
     if ends == "client leaves":
         c.router.client_left("a")
     else:
-        c.router.listed(i.ListKind.CHANGES, (FLEET[0]._replace(state=i.ServerState.DRAINING),))
+        c.router.servers_listed(i.ListKind.CHANGES, (FLEET[0]._replace(state=i.ServerState.DRAINING),))
     c.do()
     c.now += 0.01
     for confirm in c.workers.confirms:
@@ -482,7 +482,7 @@
 
 
 def test_nothing_is_sent_to_a_server_told_to_drain_for_longer_than_the_grace(c: Core) -> None:
-    c.router.listed(i.ListKind.CHANGES, (FLEET[1]._replace(state=i.ServerState.DRAINING),))
+    c.router.servers_listed(i.ListKind.CHANGES, (FLEET[1]._replace(state=i.ServerState.DRAINING),))
     c.take()
     c.wait(1.1)
     c.do(i.Send("a", WRITER, 1.0), i.Send("a", 99, 1.0))
@@ -495,10 +495,10 @@
     first = deadlines.set(1.0, lambda: heard.append("a"))
     gone = deadlines.set(1.5, lambda: heard.append("gone"))
     deadlines.cancel(gone)
-    assert deadlines.next() == first.at
-    for call in deadlines.due(2.0):
+    assert deadlines.next_due() == first.at
+    for call in deadlines.pop_due(2.0):
         call()
-    assert heard == ["a", "b"] and deadlines.next() is None
+    assert heard == ["a", "b"] and deadlines.next_due() is None
 
 
 def test_a_repeat_by_key_is_given_up_when_its_window_ends(c: Core) -> None:
@@ -507,7 +507,7 @@
     c.router.settings = replace(c.router.settings, classes=(keyed, *c.router.settings.classes[1:]))
     c.take()
     c.do(i.Send("a", WRITER, 1.0))
-    c.router.ended("a", 0, Ending.BROKEN)
+    c.router.attempt_ended("a", 0, Ending.BROKEN)
     c.do()
     c.wait(0.5)
     c.do(i.Send("a", 3, 4.0))
--- a/tests/test_dnssd.py
+++ b/tests/test_dnssd.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from yewhook.dnssd import Records, RecordsError, ServiceInstance, in_order, master_file
+from yewhook.dnssd import Records, RecordsError, ServiceInstance, master_file, order_instances
 
 
 def test_what_is_published_can_be_browsed(tmp_path: Path) -> None:
@@ -47,6 +47,6 @@
         return ServiceInstance(name, ("127.0.0.1", 1), priority, weight)
 
     heavy, light, spare = service("heavy", 0, 9), service("light", 0, 1), service("spare", 1, 9)
-    orders = [in_order([spare, light, heavy], random.Random(n)) for n in range(200)]
+    orders = [order_instances([spare, light, heavy], random.Random(n)) for n in range(200)]
     assert all(order[2] is spare and len(order) == 3 for order in orders)
     assert 150 < sum(order[0] is heavy for order in orders) < 198
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -11,7 +11,7 @@
 from helpers import Bench, only, server, settings
 from hypothesis import given
 from hypothesis import strategies as st
-from scenario import KeptLog
+from scenario import RecordingLog
 
 from hopshed import wire
 from hopshed.gossip import DOUBTED_FOR, KEPT, SAID_FOR, WAIT_FOR, Gossip
@@ -145,7 +145,7 @@
     other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     other.bind(("127.0.0.1", 0))
     other.settimeout(5.0)
-    loop = Loop(KeptLog())
+    loop = Loop(RecordingLog())
     peers = Peers(
         loop, ("127.0.0.1", 0), (("127.0.0.1", 1), other.getsockname()), other.getsockname(),
         lambda number, data: heard.append((number, data)),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -111,11 +111,11 @@
     # With 256 descriptors, clients could take so many that nothing was left for their own requests.
     room = ResourceBudget(p.service.loop, Limits(256, 32 << 20))
     p.service.loop.sockets = p.service.loop.accepted = 150
-    assert room.for_clients() and room.body_bytes == 4 << 20
+    assert room.can_open_client() and room.body_bytes == 4 << 20
     p.service.loop.sockets = p.service.loop.accepted = 160
-    assert not room.for_clients() and room.for_workers()
+    assert not room.can_open_client() and room.can_open_worker()
     p.service.loop.sockets = 240
-    assert not room.for_workers()
+    assert not room.can_open_worker()
 
 
 def sizes(p: Platform) -> list[int]:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -71,7 +71,7 @@
 def test_a_list_of_1024_workers_is_taken_whole_in_one_message(p: Platform) -> None:
     longest = take_list(p)
     print(f"longest stop {longest:.3f} s")
-    assert len(p.front.worker_list.running()) == COUNT + 2
+    assert len(p.front.worker_list.running_addresses()) == COUNT + 2
     assert len(p.front._release_candidates()) == COUNT + 2
     assert longest < LONGEST_STOP
     p.play("client send ask\nreader expect POST")  # all listen at the same address
@@ -167,7 +167,7 @@
         began = time.process_time()
         p.turn(0.0, 0.01)
         taken += time.process_time() - began
-    p.until(lambda: len(p.front.worker_list.running()) == 3202, "the list has been taken")
+    p.until(lambda: len(p.front.worker_list.running_addresses()) == 3202, "the list has been taken")
     print(f"indent {indent}: {taken:.3f} s for {len(data)} bytes")
     assert taken < LONGEST_STOP / 2
 
@@ -187,4 +187,4 @@
     p.until(lambda: last in p.front.router.servers, "the last change has been taken")
     print(f"a change: {taken / CHANGES * 1000:.2f} ms")
     assert taken < CHANGES * MEAN_CHANGE
-    assert len(p.front.worker_list.running()) == COUNT + 2
+    assert len(p.front.worker_list.running_addresses()) == COUNT + 2
--- a/tests/test_slow_reader.py
+++ b/tests/test_slow_reader.py
@@ -30,7 +30,7 @@
 
 def test_a_peer_that_takes_nothing_is_given_up_once_after_the_timeout() -> None:
     peer = Peer()
-    peer.watch.watch()
+    peer.watch.start()
     peer.wait(STALL_TIMEOUT)
     assert peer.said == [] and peer.watch.watching
     peer.wait(2 * CHECK_INTERVAL)
@@ -41,7 +41,7 @@
 
 def test_a_peer_that_takes_a_little_is_kept_though_more_is_written_meanwhile() -> None:
     peer = Peer()
-    peer.watch.watch()
+    peer.watch.start()
     for _ in range(6):
         peer.wait(STALL_TIMEOUT / 2)
         peer.wait(CHECK_INTERVAL, takes=1)
@@ -51,7 +51,7 @@
 
 def test_a_peer_that_has_caught_up_is_not_watched_any_more() -> None:
     peer = Peer(caught_up_at=500)
-    peer.watch.watch()
+    peer.watch.start()
     peer.wait(2.0, takes=100)
     assert peer.said == ["caught up"] and not peer.watch.watching
     peer.wait(2 * STALL_TIMEOUT)
@@ -60,10 +60,10 @@
 
 def test_a_watch_that_is_stopped_says_nothing_and_may_begin_anew() -> None:
     peer = Peer()
-    peer.watch.watch()
+    peer.watch.start()
     peer.wait(STALL_TIMEOUT - 1.0)
     peer.watch.stop()
     peer.wait(5.0)
-    peer.watch.watch()
+    peer.watch.start()
     peer.wait(STALL_TIMEOUT - 1.0)
     assert peer.said == []
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -216,6 +216,6 @@
 def test_no_wait_lets_a_list_be_late(routers: int) -> None:
     for seed in range(50):
         backoff = Backoff(routers, Random(seed))
-        waits = [backoff.next() for _ in range(12)]
+        waits = [backoff.next_delay() for _ in range(12)]
         assert max(waits) < TOLD - 1.0
         assert waits[0] + waits[1] < TOLD - 0.5  # so one failure more is in time, too
--- a/yewhook/agent/agent.py
+++ b/yewhook/agent/agent.py
@@ -146,7 +146,7 @@
         actions: dict[str, Callable[[Instance], None]] = {
             "agent/start": Instance.start,
             "agent/stop": Instance.stop,
-            "agent/restart": lambda instance: instance.stop(again=True),
+            "agent/restart": lambda instance: instance.stop(restart=True),
         }
         if method not in actions and method not in ORDERS:
             raise RpcError(Code.METHOD_NOT_FOUND, f"unknown method {method!r}")
--- a/yewhook/agent/instance.py
+++ b/yewhook/agent/instance.py
@@ -214,9 +214,9 @@
         self._backoff = min(2 * self._backoff, MAX_BACKOFF)
         self._to(State.WAITING)
 
-    def stop(self, again: bool = False) -> None:
+    def stop(self, restart: bool = False) -> None:
         """Tell it to finish what it has taken; start it anew after that if so wanted."""
-        self._again = again
+        self._again = restart
         if self._process is None:
             return self._stopped()
         if self.state is not State.STOPPING:
@@ -235,7 +235,7 @@
         """Go on as a new fleet file says: what it runs may have changed, or the files that this names."""
         changed, self.spec = spec != self.spec, spec
         if changed and self.running and self.state is not State.STOPPING:
-            self.stop(again=True)
+            self.stop(restart=True)
         self._tell = self.running and not changed
 
     def kill(self) -> None:
--- a/yewhook/backoff.py
+++ b/yewhook/backoff.py
@@ -23,17 +23,17 @@
     def __init__(self, routers: int, random: Random) -> None:
         self._first, self._most = min(FIRST * routers, FIRST_LONGEST), min(MOST * routers, LONGEST)
         self._random = random
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """It has answered: the next failure is the first one again."""
         self._wait = self._first
 
-    def soon(self) -> float:
+    def short_delay(self) -> float:
         """s to wait before asking again what has only fallen silent: so little that nobody is late by it."""
         return self._random.uniform(0.0, SOON)
 
-    def next(self) -> float:
+    def next_delay(self) -> float:
         """s to wait after one more failure."""
         wait, self._wait = self._wait, min(2 * self._wait, self._most)
         return wait * self._random.uniform(1 - SPREAD, 1 + SPREAD)
--- a/yewhook/cli.py
+++ b/yewhook/cli.py
@@ -13,7 +13,7 @@
 import typer
 
 from . import __version__
-from .commands.common import AGENT, At, ask_agent, read_settings, usage_error
+from .commands.common import DEFAULT_AGENT_ADDRESS, AgentOption, ask_agent, read_settings, usage_error
 from .commands.lab import lab
 from .commands.levels import level_of, levels
 from .commands.recovery import recovery
@@ -112,8 +112,8 @@
         ManagementEndpoint(service, config.mgmt)
     handed = hot_restart.await_handover() if hot_restart is not None else None
     succeeds = hot_restart is not None and hot_restart.has_predecessor
-    again = partial(read_config, os.environ, again=True)
-    front = PlatformFront(service.loop, config, room, again, succeeds, handed, snapshot_store)
+    read_again = partial(read_config, os.environ, reload=True)
+    front = PlatformFront(service.loop, config, room, read_again, succeeds, handed, snapshot_store)
     if hot_restart is not None:
         hot_restart.monitor(front.handover_state, room)
     return front
@@ -165,7 +165,7 @@
             typer.echo(f"{site}: {classes}; {len(told.tenants)} tenants")
         if not any((toolcalls, fleet, settings, site)):
             config = read_config(os.environ)
-            known = len(config.known.get("instances") or [])
+            known = len(config.known_workers.get("instances") or [])
             typer.echo(f"{config.name}: listens on {_place(config.listen)}, {known} known workers")
     except ConfigError as error:
         raise usage_error(error) from None
@@ -207,7 +207,10 @@
 
 
 @app.command()
-def status(at: At = AGENT, as_json: Annotated[bool, typer.Option("--json", help="As JSON.")] = False) -> None:
+def status(
+    at: AgentOption = DEFAULT_AGENT_ADDRESS,
+    as_json: Annotated[bool, typer.Option("--json", help="As JSON.")] = False,
+) -> None:
     """Show the routers that an agent runs."""
     instances = ask_agent(at, "agent/status")["instances"]
     if as_json:
@@ -222,19 +225,19 @@
 
 
 @app.command()
-def start(name: str, at: At = AGENT) -> None:
+def start(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
     """Start a router that is stopped."""
     typer.echo(f"{name} {ask_agent(at, 'agent/start', name=name)['state']}")
 
 
 @app.command()
-def stop(name: str, at: At = AGENT) -> None:
+def stop(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
     """Let a router finish what it has taken, and keep it stopped."""
     typer.echo(f"{name} {ask_agent(at, 'agent/stop', name=name)['state']}")
 
 
 @app.command()
-def restart(name: str, at: At = AGENT) -> None:
+def restart(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
     """Let a router finish what it has taken, and start it anew."""
     typer.echo(f"{name} {ask_agent(at, 'agent/restart', name=name)['state']}")
 
@@ -253,19 +256,19 @@
 
 
 @app.command()
-def drain(name: str, at: At = AGENT, by: By = "") -> None:
+def drain(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
     """Let a router finish what it has, and take nothing new; it stays so over restarts, until `resume`."""
     typer.echo(f"{name} {ask_agent(at, 'agent/drain', name=name, by=by or _user())['state']}")
 
 
 @app.command()
-def resume(name: str, at: At = AGENT, by: By = "") -> None:
+def resume(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
     """Let a drained router serve again."""
     typer.echo(f"{name} {ask_agent(at, 'agent/resume', name=name, by=by or _user())['state']}")
 
 
 @app.command()
-def upgrade(name: str, at: At = AGENT, by: By = "") -> None:
+def upgrade(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
     """Start a new process of a router beside the old one, and end that once the new one serves."""
     done = ask_agent(at, "agent/upgrade", timeout=UPGRADE_PATIENCE, name=name, by=by or _user())
     typer.echo(f"{name} {done['state']}, pid {done['pid']}")
@@ -276,7 +279,7 @@
 
 
 @app.command()
-def shutdown(at: At = AGENT) -> None:
+def shutdown(at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
     """Let all routers finish, and end the agent."""
     ask_agent(at, "agent/shutdown")
     typer.echo("shutting down")
--- a/yewhook/commands/common.py
+++ b/yewhook/commands/common.py
@@ -11,8 +11,8 @@
 from ..jsonrpc import RpcError
 from ..service_settings import ServiceSettings
 
-At = Annotated[str, typer.Option("--agent", help="Where the agent listens.")]
-AGENT = "127.0.0.1:7400"
+AgentOption = Annotated[str, typer.Option("--agent", help="Where the agent listens.")]
+DEFAULT_AGENT_ADDRESS = "127.0.0.1:7400"
 
 
 def usage_error(error: object) -> typer.Exit:
--- a/yewhook/commands/levels.py
+++ b/yewhook/commands/levels.py
@@ -13,7 +13,7 @@
 from ..config import ConfigError
 from ..levels.level import LEVEL_DESCRIPTIONS, Level
 from ..levels.settings import LevelsSettings
-from .common import AGENT, At, ask_agent, read_settings, usage_error
+from .common import DEFAULT_AGENT_ADDRESS, AgentOption, ask_agent, read_settings, usage_error
 
 levels = typer.Typer(no_args_is_help=True, help="Levels of reduced service.")
 UNITS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -87,7 +87,7 @@
     reason: Annotated[str, typer.Option("--reason", help="Why; it is logged.")],
     duration: Annotated[str, typer.Option("--for", help="How long, as 90s, 10m, 2h.")] = "10m",
     router: Annotated[str | None, typer.Option("--router", help="One router; else all.")] = None,
-    at: At = AGENT,
+    at: AgentOption = DEFAULT_AGENT_ADDRESS,
 ) -> None:
     """Hold routers at a level, whatever they see; it ends by itself."""
     try:
@@ -100,7 +100,7 @@
 @levels.command()
 def unpin(
     router: Annotated[str | None, typer.Option("--router", help="One router; else all.")] = None,
-    at: At = AGENT,
+    at: AgentOption = DEFAULT_AGENT_ADDRESS,
 ) -> None:
     """Let routers judge for themselves again."""
     _told(ask_agent(at, "levels/unpin", **_one(router)))
--- a/yewhook/commands/recovery.py
+++ b/yewhook/commands/recovery.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from .common import AGENT, At, ask_agent
+from .common import DEFAULT_AGENT_ADDRESS, AgentOption, ask_agent
 
 recovery = typer.Typer(no_args_is_help=True, help="Recovery of the fleet from a power loss.")
 
@@ -18,7 +18,10 @@
 
 
 @recovery.command()
-def show(at: At = AGENT, as_json: Annotated[bool, typer.Option("--json", help="As JSON.")] = False) -> None:
+def show(
+    at: AgentOption = DEFAULT_AGENT_ADDRESS,
+    as_json: Annotated[bool, typer.Option("--json", help="As JSON.")] = False,
+) -> None:
     """Show each router's phase, since when, what it trusts from where, and what it waits for."""
     instances = ask_agent(at, "recovery/show")["instances"]
     if as_json:
--- a/yewhook/config.py
+++ b/yewhook/config.py
@@ -53,7 +53,7 @@
     limits: Limits
     connect_timeout: float
     idle_limit: float  # s after which a worker closes an idle connection
-    known: dict[str, Any]  # the list of workers as last held, in discovery's form
+    known_workers: dict[str, Any]  # the list of workers as last held, in discovery's form
     peer_listen: Address | None = None  # where messages of other routers arrive
     peers: tuple[Address, ...] = ()  # whence each router's messages come, in the order of their numbers
     peers_all: Address | None = None  # where a message goes that is for all of them
@@ -96,7 +96,7 @@
     raw: dict[str, Any]
 
     @classmethod
-    def of(cls, path: Path, raw: Any, keys: Set[str], where: str = "") -> Table:
+    def parse(cls, path: Path, raw: Any, keys: Set[str], where: str = "") -> Table:
         if not isinstance(raw, dict):
             raise ConfigError(f"{path}: expected a table{where}")
         if unknown := raw.keys() - keys:
@@ -119,7 +119,7 @@
         return float(value)
 
 
-def toml(path: Path) -> dict[str, Any]:
+def read_toml(path: Path) -> dict[str, Any]:
     try:
         return tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
@@ -146,8 +146,8 @@
         raise ConfigError(f"settings: {type(error).__name__} {error}") from error
 
 
-def read(environ: Mapping[str, str], again: bool = False) -> Config:
-    """The configuration; `again` = in a running process, where the file may name a newer discovery than the
+def read(environ: Mapping[str, str], reload: bool = False) -> Config:
+    """The configuration; `reload` = in a running process, where the file may name a newer discovery than the
     environment, which is as old as the process."""
     path = environ.get("PROXY_CONFIG")
     if not path:
@@ -165,7 +165,7 @@
         raise ConfigError(f"{path}: {error}") from error
     caps = env.get("caps") or {}
     told = environ.get("PROXY_DISCOVERY")
-    discovery = (raw.get("discovery") or told) if again else (told or raw.get("discovery"))
+    discovery = (raw.get("discovery") or told) if reload else (told or raw.get("discovery"))
     limits = raw.get("limits") or {}
     mgmt, accept_fd = environ.get("PROXY_MGMT") or raw.get("mgmt"), environ.get("PROXY_ACCEPT_FD")
     try:
@@ -182,7 +182,7 @@
             ),
             connect_timeout=float(caps.get("connect-timeout-ms") or 250.0) / 1000.0,
             idle_limit=float(caps.get("conn-idle-ms") or 30000.0) / 1000.0,
-            known=raw.get("known") or {},
+            known_workers=raw.get("known") or {},
             peer_listen=address(raw["peer_listen"], "peer_listen") if raw.get("peer_listen") else None,
             peers=tuple(address(peer, "peers") for peer in raw.get("peers") or ()),
             peers_all=address(raw["peers_all"], "peers_all") if raw.get("peers_all") else None,
--- a/yewhook/connection_pool.py
+++ b/yewhook/connection_pool.py
@@ -42,7 +42,7 @@
         self._idle: dict[Address, list[C]] = {}
         self._sweep()
 
-    def take(self, address: Address) -> C:
+    def acquire(self, address: Address) -> C:
         """A kept connection that is still good, the youngest first, else a new one.
 
         Raises OSError where none can be opened.
@@ -50,7 +50,7 @@
         rested = [c for c in self._idle.get(address, ()) if self.loop.now - c.idle_since >= self._rest]
         while rested:
             connection = rested.pop()
-            self.forget(connection)
+            self.discard(connection)
             if not connection.channel.closed and not connection.channel.unread:
                 return connection
             connection.close()
@@ -58,20 +58,20 @@
             raise OSError("too many sockets")
         return self._connect(address)
 
-    def keep(self, connection: C) -> None:
+    def put_back(self, connection: C) -> None:
         connection.idle_since = self.loop.now
         self.liveness.record_heard(connection.address, self.loop.now)
         connection.channel.pause(False)  # a slow client may have had its last exchange paused
         self._idle.setdefault(connection.address, []).append(connection)
 
-    def forget(self, connection: C) -> None:
+    def discard(self, connection: C) -> None:
         idle = self._idle.get(connection.address, [])
         if connection in idle:
             idle.remove(connection)
             if not idle:
                 del self._idle[connection.address]
 
-    def keep_only(self, addresses: set[Address]) -> None:
+    def close_others(self, addresses: set[Address]) -> None:
         """Close what is kept to addresses that no server has any more."""
         for address in self._idle.keys() - addresses:
             for connection in self._idle.pop(address):
@@ -81,7 +81,7 @@
         kept = (c for idle in self._idle.values() for c in idle)
         oldest = min(kept, key=lambda c: c.idle_since, default=None)
         if oldest is not None:
-            self.forget(oldest)
+            self.discard(oldest)
             oldest.close()
         return oldest is not None
 
@@ -90,7 +90,7 @@
         kept = [c for idle in self._idle.values() for c in idle]
         for connection in kept:
             if self.loop.now - connection.idle_since > self._keep_for:
-                self.forget(connection)
+                self.discard(connection)
                 connection.close()
         self.liveness.forget_before(self.loop.now - LIVENESS_KEPT)
         self.loop.after(min(1.0, self._keep_for / 4), self._sweep)
--- a/yewhook/core/ports.py
+++ b/yewhook/core/ports.py
@@ -11,19 +11,20 @@
 
 
 class Client(Protocol):
-    """The client's end of one request. Exactly one of finish, break_off, refuse and fail is called, once."""
+    """The client's end of one request. Exactly one of finish, abort_stream, refuse and fail is called,
+    once."""
 
     @property
-    def left(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether it can be seen now that it has closed its connection."""
 
-    def pass_on(self, event: object) -> None:
+    def send_event(self, event: object) -> None:
         """Pass on one event of the running stream; the first one opens the answer."""
 
     def finish(self) -> None:
         """The stream is whole."""
 
-    def break_off(self, ending: Ending) -> None:
+    def abort_stream(self, ending: Ending) -> None:
         """The stream ends before it is whole."""
 
     def refuse(self, retry_after: float) -> None:
@@ -34,7 +35,7 @@
 
 
 class Workers(Protocol):
-    """The way to the workers. What comes of an attempt is told to the core, once, by `Router.ended`."""
+    """The way to the workers. An attempt's end is told to the core, once, by `Router.attempt_ended`."""
 
     def send(
         self, request_id: str, attempt: int, server: int, call: object, timeout: float, begins: float
@@ -66,9 +67,9 @@
 class AttemptListener(Protocol):
     """Where the workers' side tells what comes of an attempt: the core's router."""
 
-    def event(self, request_id: str, number: int, data: object) -> bool: ...
+    def stream_event(self, request_id: str, number: int, data: object) -> bool: ...
 
-    def ended(
+    def attempt_ended(
         self, request_id: str, number: int, ending: Ending, note: int = 0, load: Load | None = None
     ) -> None: ...
 
@@ -76,12 +77,12 @@
 class Governor(Protocol):
     """Judges the service as a whole, beside the module, which goes on to decide on each request."""
 
-    def before(
+    def filter_events(
         self, now: float, events: Sequence[Event], sight: Callable[[float], dict[Role, RoleUsage]]
     ) -> list[Event]:
         """The events that the module is to hear of this turn."""
 
-    def after(self, now: float, actions: Sequence[Action]) -> None:
+    def observe_actions(self, now: float, actions: Sequence[Action]) -> None:
         """What the module did with them."""
 
     def start_over(self) -> None:
--- a/yewhook/core/router.py
+++ b/yewhook/core/router.py
@@ -128,7 +128,7 @@
 
     # ---- facts from the workers' side ----
 
-    def listed(self, kind: i.ListKind, servers: tuple[i.Server, ...]) -> None:
+    def servers_listed(self, kind: i.ListKind, servers: tuple[i.Server, ...]) -> None:
         """A list of servers, or changes to it, as discovery has just written it."""
         now = self._clock()
         changes = self.table.update(kind, servers, now)
@@ -142,7 +142,7 @@
                 and out.server in changes.withdrawn
                 and self.workers.withdraw(life.id, out.number)
             ):
-                self.ended(life.id, out.number, Ending.SERVER_LEFT)
+                self.attempt_ended(life.id, out.number, Ending.SERVER_LEFT)
 
     def split_learned_state(self) -> LearnedState:
         """What the module has learnt, for a successor."""
@@ -175,7 +175,7 @@
         """A message of another router."""
         self._facts.append(i.PeerSaid(sender, data))
 
-    def event(self, request_id: str, number: int, data: object) -> bool:
+    def stream_event(self, request_id: str, number: int, data: object) -> bool:
         """One event of an attempt's stream; with the first, the attempt belongs to the client.
 
         False where the client has no part in it: the request is over, or a reader has nothing to say to it.
@@ -190,10 +190,10 @@
             self._stop_timers(life, attempt)
             latency = self._clock() - attempt.sent
             self._facts.append(i.StreamStarted(request_id, number, attempt.server, latency))
-        life.client.pass_on(data)
+        life.client.send_event(data)
         return True
 
-    def ended(
+    def attempt_ended(
         self, request_id: str, number: int, ending: Ending, note: int = 0, load: i.Load | None = None
     ) -> None:
         """An attempt has ended; each is told of once."""
@@ -233,10 +233,10 @@
             try:
                 if self.governor is not None:
                     heard, sees = events, partial(role_usage, self._module)
-                    events = self._governed(lambda g: g.before(now, heard, sees), heard)
+                    events = self._governed(lambda g: g.filter_events(now, heard, sees), heard)
                 actions = self._module.handle(now, events)
                 if self.governor is not None:
-                    self._governed(lambda g: g.after(now, actions), None)
+                    self._governed(lambda g: g.observe_actions(now, actions), None)
                 for act in actions:
                     self._do[type(act)](act)
             except Exception:
@@ -325,12 +325,12 @@
         life.waiting = None
         attempt.sent = self._clock()
         if self.table.status(attempt.server, attempt.sent).withdrawn_for > 0:
-            return self.ended(life.id, attempt.number, Ending.SERVER_LEFT)
+            return self.attempt_ended(life.id, attempt.number, Ending.SERVER_LEFT)
         return self._begin(life, attempt, expires)
 
     def _begin(self, life: RequestRecord, attempt: Attempt, expires: float) -> None:
         """Hand an attempt to the workers' side, unless its client has left while this turn went on."""
-        if life.client.left:
+        if life.client.disconnected:
             return self.client_left(life.id)
         now = self._clock()
         if self.log.detailed:
@@ -374,7 +374,7 @@
             return
         if life.out is not None:  # its worker may have finished it, and the end not been read yet
             self.workers.catch_up(life.id, life.out.number)
-        self._end(life, Ending.MOVED, lambda: life.client.break_off(Ending.MOVED))
+        self._end(life, Ending.MOVED, lambda: life.client.abort_stream(Ending.MOVED))
 
     def _set_timer(self, act: i.SetTimer) -> None:
         self._module_timer = self._deadlines.set(
@@ -396,7 +396,7 @@
         written = self.workers.abort(life.id, attempt.number)
         if ending is Ending.TIMED_OUT and not written:
             ending = Ending.UNSENT_IN_TIME
-        self.ended(life.id, attempt.number, ending)
+        self.attempt_ended(life.id, attempt.number, ending)
 
     def _overdue(self, life: RequestRecord) -> None:
         if life.unanswered:
@@ -409,7 +409,7 @@
         if ending is Ending.SERVED:
             self._end(life, None, life.client.finish)
         else:
-            self._end(life, None, lambda: life.client.break_off(ending))
+            self._end(life, None, lambda: life.client.abort_stream(ending))
 
     def _end(
         self, life: RequestRecord, ending: Ending | None, answer: Callable[[], None] | None = None
--- a/yewhook/deadlines.py
+++ b/yewhook/deadlines.py
@@ -28,10 +28,10 @@
         if deadline is not None:
             self._due.pop(deadline, None)
 
-    def next(self) -> float | None:
+    def next_due(self) -> float | None:
         return self._due.peekitem(0)[0].at if self._due else None
 
-    def due(self, now: float) -> list[Callable[[], None]]:
+    def pop_due(self, now: float) -> list[Callable[[], None]]:
         """Take out all that has fallen due, in order."""
         calls = []
         while self._due and self._due.peekitem(0)[0].at <= now:
--- a/yewhook/dnssd.py
+++ b/yewhook/dnssd.py
@@ -100,7 +100,7 @@
         return found
 
 
-def in_order(instances: Iterable[ServiceInstance], rng: random.Random) -> list[ServiceInstance]:
+def order_instances(instances: Iterable[ServiceInstance], rng: random.Random) -> list[ServiceInstance]:
     """The order in which to try instances: by priority, by chance in proportion to weight (RFC 2782)."""
     left, order = sorted(instances, key=lambda s: (s.priority, s.weight != 0)), []
     while left:
--- a/yewhook/front.py
+++ b/yewhook/front.py
@@ -146,7 +146,7 @@
 
     def end(self, out: O, ending: Ending, note: int = 0, load: i.Load | None = None) -> None:
         if self._out.pop((out.request_id, out.number), None) is not None:
-            self.listener.ended(out.request_id, out.number, ending, note, load)
+            self.listener.attempt_ended(out.request_id, out.number, ending, note, load)
 
     def abort(self, request_id: str, attempt: int) -> bool:
         out = self._out.pop((request_id, attempt), None)
@@ -213,7 +213,7 @@
             candidates.append(Candidate(address, group, heard, missed, draining))
         return candidates
 
-    def route(self, workers: ListenedWorkers, seed: int) -> None:
+    def create_router(self, workers: ListenedWorkers, seed: int) -> None:
         """Give the front its router."""
         self._seed = seed
         self.router = Router(
@@ -235,14 +235,14 @@
         listener = listener or listen(address)
         self.port: int = listener.getsockname()[1]
         self._acceptor = Acceptor(
-            self.loop, listener, room.for_clients, clients.free_connections, clients.accepted
+            self.loop, listener, room.can_open_client, clients.free_connections, clients.accepted
         )
         clients.waiting_since = lambda: self._acceptor.waiting_since
         self.loop.log("serving", f"{whose} clients on {address[0]}:{self.port}")
 
     @property
     def has_workers(self) -> bool:
-        return bool(self.worker_list.running())
+        return bool(self.worker_list.running_addresses())
 
     @property
     def busy(self) -> bool:
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -76,7 +76,7 @@
 
     # ---- the core's turn ----
 
-    def before(self, now: float, events: Sequence[i.Event], sight: Sight) -> list[i.Event]:
+    def filter_events(self, now: float, events: Sequence[i.Event], sight: Sight) -> list[i.Event]:
         """What the module is to hear: the turns' events, with what there is room for of each that arrived."""
         if now - self._last > PAUSE:
             self._after_pause(now)
@@ -91,7 +91,7 @@
             out.append(self._hear(event, now))
         return out
 
-    def after(self, now: float, actions: Sequence[i.Action]) -> None:
+    def observe_actions(self, now: float, actions: Sequence[i.Action]) -> None:
         """What the module did."""
         for act in actions:
             if isinstance(act, i.Send):
@@ -189,7 +189,7 @@
         self._late.add(turn.worth, late, now)
         if self.recovery is not None:
             top = turn.kind.cls in top_classes(self.settings, self._turns.mean_work)
-            self.recovery.ended(turn, late, sent, top, now)
+            self.recovery.turn_ended(turn, late, sent, top, now)
         self._late_by_class[turn.kind.cls].add(turn.worth, late, now)
 
     # ---- looks ----
@@ -200,7 +200,7 @@
             del self._open[rid]
         self.signals = self._judge(now, sight)
         if self.recovery is not None:
-            self.recovery.look(now, sight, self._mean_worth.known(1.0))
+            self.recovery.update(now, sight, self._mean_worth.known(1.0))
             if self.recovery.active and self.ladder.pin is None:
                 # The phase rules while service returns: what is seen then says nothing of a level.
                 self._shares = [{} for _ in range(self._demand.tenants)]
@@ -261,7 +261,7 @@
             certain = level is Level.LAST_RESORT and not self.ladder.calm
             event = i.ServiceLevel(level.label, settings.levels[level].retry_after, certain)
         if self.recovery is not None and self.recovery.active and not event.certain:
-            event = self.recovery.level(now)
+            event = self.recovery.service_level(now)
         if event == (self._told or i.ServiceLevel()):
             return []
         self._told = event
--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -71,7 +71,7 @@
     def run_turn(self, longest: float | None = None) -> bool:
         """One turn, waiting for it no longer than this; whether there is something to decide on at once."""
         waits = [] if longest is None else [longest]
-        if (due := self.deadlines.next()) is not None:
+        if (due := self.deadlines.next_due()) is not None:
             waits.append(max(0.0, due - self._clock()))
         ready = self._selector.select(min(waits, default=None))
         self.previous_poll_at, self.now = self.now, self._clock()
@@ -81,7 +81,7 @@
             if self._selector.get_map().get(key.fd) is key:  # an earlier handler may have closed it
                 self._guard(lambda key=key, mask=mask: key.data(mask))  # type: ignore[misc]
         heard = self._clock()
-        for call in (*self.deadlines.due(self.now), *self.pollers):
+        for call in (*self.deadlines.pop_due(self.now), *self.pollers):
             self._guard(call)
         timed = self._clock()
         again = any([decider.turn(self.now) for decider in self.deciders])
--- a/yewhook/platform/clients.py
+++ b/yewhook/platform/clients.py
@@ -143,7 +143,7 @@
         return self.channel.unread
 
     @property
-    def left(self) -> bool:
+    def disconnected(self) -> bool:
         return self.channel.ended
 
     @property
@@ -218,7 +218,7 @@
         field = name.decode("latin-1").lower()
         if field in self.call.headers and field in ONCE:
             raise BadRequest(400, f"{field}: more than once")
-        self.call.headers[field] = http.text(value)
+        self.call.headers[field] = http.decode_header(value)
 
     def _grow(self, size: int) -> None:
         self._head_size += size
@@ -320,7 +320,7 @@
 
     # ---- answering ----
 
-    def pass_on(self, event: object) -> None:
+    def send_event(self, event: object) -> None:
         assert isinstance(event, bytes)
         if not self._opened:
             self._opened = True
@@ -328,7 +328,7 @@
             self.channel.send(http.head("HTTP/1.1 200 OK", fields | self._ending_field()))
         self.channel.send(http.chunk(event))
         if self.channel.unsent > SLOW and not self.slow_reader.watching:
-            self.slow_reader.watch()
+            self.slow_reader.start()
             self.front.router.client_slow(self.request_id, True)
 
     def _stalled(self) -> None:
@@ -350,7 +350,7 @@
         self.channel.send(http.LAST_CHUNK)
         self._served()
 
-    def break_off(self, ending: Ending) -> None:
+    def abort_stream(self, ending: Ending) -> None:
         self.front.log("stream broken off", f"{self.request_id} {ending.name.lower()}")
         self.request_id = ""
         self.close_gracefully()
--- a/yewhook/platform/discovery.py
+++ b/yewhook/platform/discovery.py
@@ -158,7 +158,7 @@
         old address says is taken until that has come."""
         self._address = address
         self._let_go_of_asked()
-        self._backoff.begin()
+        self._backoff.reset()
         self._ask()
 
     def close(self) -> None:
@@ -177,7 +177,7 @@
                 self._ask()
             else:
                 self._loop.log("discovery watch silent", f"for {self._loop.now - self._heard:.2f} s")
-                self._next.set(self._backoff.soon(), self._ask)
+                self._next.set(self._backoff.short_delay(), self._ask)
         self._looks.set(LOOK_EVERY, self._look)
 
     @property
@@ -200,7 +200,7 @@
         return None
 
     def _again(self, why: str) -> None:
-        wait = self._backoff.next()
+        wait = self._backoff.next_delay()
         self._loop.log("discovery watch lost", f"{why}; again in {wait:.2f} s")
         if not self._next.running:
             self._next.set(wait, self._ask)
@@ -236,7 +236,7 @@
         self._asked.remove(call)
         self._let_go_of_asked()
         self._next.cancel()
-        self._backoff.begin()
+        self._backoff.reset()
         if old is not None:
             old.close()
 
@@ -250,7 +250,7 @@
                 raise ValueError(f"a list of generation {generation}, and {held} is held")
             if call is not self._serving and call.after <= generation < held:
                 return  # it crossed a later one of the call before; this call brings that next, too
-            servers = self._worker_list.read(message, told)
+            servers = self._worker_list.parse(message, told)
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"an entry: {type(error).__name__} {error}") from error
         self._generation, self._numbered_by = generation, call.address
--- a/yewhook/platform/front.py
+++ b/yewhook/platform/front.py
@@ -50,7 +50,7 @@
         `snapshot_store` keeps what a process after this one goes on from."""
         self._config, self._read_again, self._snapshot_store = config, read_again, snapshot_store
         self.pool = pool = WorkerPool(
-            loop, room.for_workers, config.connect_timeout, config.idle_limit, config.settings.may_resume
+            loop, room.can_open_worker, config.connect_timeout, config.idle_limit, config.settings.may_resume
         )
         super().__init__(
             loop,
@@ -61,7 +61,7 @@
         )
         self.workers = HttpWorkers(pool, config.names.columns, self.worker_list, self.releases.release)
         self.recovery = snapshot_store.recovery if snapshot_store is not None else None
-        self.route(self.workers, config.seed)
+        self.create_router(self.workers, config.seed)
         self._resumed, self._began = handed is not None, loop.now
         generation = self._resume(handed) if handed is not None else self._begin()
         self.peers: Peers | None = None
@@ -87,18 +87,18 @@
     def _begin(self) -> int:
         """Go on from the configuration's list; its generation."""
         try:
-            known = self.worker_list.read(self._config.known, MessageTimes(self.loop.now))
+            known = self.worker_list.parse(self._config.known_workers, MessageTimes(self.loop.now))
         except (KeyError, TypeError, ValueError) as error:
             self.loop.log("known list not understood", str(error))
             known = ()
         if self._snapshot_store is not None:
-            known = self.worker_list.add(self._snapshot_store.begin(known))
-        self.router.listed(i.ListKind.SAVED, known)
-        return int(self._config.known.get("generation") or 0)
+            known = self.worker_list.add(self._snapshot_store.initial_servers(known))
+        self.router.servers_listed(i.ListKind.SAVED, known)
+        return int(self._config.known_workers.get("generation") or 0)
 
     def _peer_said(self, sender: int, data: bytes) -> None:
         if self._snapshot_store is not None and data[:1] == WORD:
-            self._snapshot_store.heard(sender, data)
+            self._snapshot_store.message_received(sender, data)
         else:
             self.router.peer_message(sender, data)
 
@@ -106,7 +106,7 @@
         """Go on from what a predecessor knows."""
         from ..operations import handover_encoding
 
-        self.router.listed(
+        self.router.servers_listed(
             i.ListKind.SAVED, self.worker_list.resume(handover_encoding.from_listed(handed.servers))
         )
         try:
@@ -144,14 +144,14 @@
 
     def _listed(self, kind: i.ListKind, servers: tuple[i.Server, ...]) -> None:
         if self._snapshot_store is not None:
-            servers = self._snapshot_store.listed(kind, servers, self.watch.generation)
-            self.worker_list.keep(servers)
-        self._unused.ask()
-        self.router.listed(kind, servers)
+            servers = self._snapshot_store.servers_listed(kind, servers, self.watch.generation)
+            self.worker_list.set_states(servers)
+        self._unused.trigger()
+        self.router.servers_listed(kind, servers)
 
     def _close_unused(self) -> float:
         """Close what is kept to servers that have gone; s until that may be done again."""
-        self.pool.keep_only(self.worker_list.in_use())
+        self.pool.close_others(self.worker_list.active_addresses())
         servers = len(self.worker_list.states)
         return CLOSE_UNUSED_EVERY * servers if servers >= MANY_SERVERS else 0.0
 
--- a/yewhook/platform/http.py
+++ b/yewhook/platform/http.py
@@ -28,7 +28,7 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def text(value: bytes) -> str:
+def decode_header(value: bytes) -> str:
     """A field's value without the white space that may stand behind it, which the parser leaves there."""
     return value.rstrip(b" \t").decode("latin-1")
 
--- a/yewhook/platform/workers.py
+++ b/yewhook/platform/workers.py
@@ -91,7 +91,7 @@
         self._timer.cancel()
         self._still.cancel()
         self.channel.abort()
-        self.pool.forget(self)
+        self.pool.discard(self)
 
     # ---- the channel ----
 
@@ -137,7 +137,7 @@
         self._timer.cancel()
         self._still.cancel()
         if self._reusable and self.written:
-            self.pool.keep(self)
+            self.pool.put_back(self)
         else:
             self.close()
         if exchange is not None:
@@ -199,7 +199,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._in_head:
-            self._headers[name.decode("latin-1").lower()] = http.text(value)
+            self._headers[name.decode("latin-1").lower()] = http.decode_header(value)
 
     def on_headers_complete(self) -> None:
         if not self._in_head or self._parser is None:
@@ -254,7 +254,7 @@
 
     def ask(self, address: Address, exchange: Exchange, compose: Callable[[], bytes]) -> WorkerConnection:
         """Ask on a kept or a new connection. Raises OSError where none can be opened."""
-        connection = self.take(address)
+        connection = self.acquire(address)
         connection.ask(exchange, compose)
         return connection
 
@@ -329,7 +329,7 @@
         self.told += not event.startswith(b":")
         if b'"usage"' in event:
             self._found = cached(event) or self._found
-        self.workers.listener.event(self.request_id, self.number, event)
+        self.workers.listener.stream_event(self.request_id, self.number, event)
 
     def whole(self) -> None:
         if rest := self._events.rest():
--- a/yewhook/recovery/recovery.py
+++ b/yewhook/recovery/recovery.py
@@ -17,8 +17,7 @@
 from hopshed.slow_start import WORK_RATE_TIME_CONSTANT_S
 
 from ..levels.estimators import Share
-from ..levels.turns import RefusalLoss as TurnStanding
-from ..levels.turns import Turn
+from ..levels.turns import RefusalLoss, Turn
 from .peer_messages import PeerMessage, Seen, choose
 from .phases import WAITS_FOR, WARM, Phase, PhaseEvidence, PhaseState
 from .ramp import LATE_SPAN, Ramp, Rank, rank
@@ -129,7 +128,7 @@
         elif server.state is ServerState.RUNNING:
             note(Fact(Kind.RUNS, n, True, source, at))
 
-    def merge(
+    def merge_list(
         self, kind: ListKind, servers: tuple[i.Server, ...], generation: int, now: float
     ) -> tuple[i.Server, ...]:
         """What the module is to take for the register's list.
@@ -244,7 +243,7 @@
             self._proven.setdefault(number, -math.inf)
         self._restarted -= named.keys()
 
-    def ended(self, turn: Turn, late: bool, sent: bool, top: bool, now: float) -> None:
+    def turn_ended(self, turn: Turn, late: bool, sent: bool, top: bool, now: float) -> None:
         """A turn's first answer has come, late or not, or never. Of the lesser ones what no server had says
         nothing; of the worthiest, it says that others took their place."""
         if sent or top:
@@ -283,7 +282,7 @@
         """What was usual before, by this router's snapshot."""
         self._usual, self._rates_told = usual, False
 
-    def look(self, now: float, sight: dict[Role, i.RoleUsage], mean_worth: float) -> None:
+    def update(self, now: float, sight: dict[Role, i.RoleUsage], mean_worth: float) -> None:
         self._judge(now)
         self._mean_worth = mean_worth
         self.ramp.late.min_total = FEW * mean_worth
@@ -377,8 +376,8 @@
         phase = self.phase_state.phase
         if phase is Phase.FULL:
             return True
-        if not self._text_stands and turn.kind.refusal_loss is TurnStanding.OPEN_SESSION:
-            turn = replace(turn, kind=turn.kind._replace(refusal_loss=TurnStanding.NEW_SESSION))
+        if not self._text_stands and turn.kind.refusal_loss is RefusalLoss.OPEN_SESSION:
+            turn = replace(turn, kind=turn.kind._replace(refusal_loss=RefusalLoss.NEW_SESSION))
         if phase is Phase.NOTHING:
             return rank(turn.kind, top) is Rank.BACK
         return self.ramp.admits(turn, top, now)
@@ -395,7 +394,7 @@
         self._rates_told = True
         return [i.WarmRates(tuple(self._usual.rates.items()))]
 
-    def level(self, now: float) -> i.ServiceLevel:
+    def service_level(self, now: float) -> i.ServiceLevel:
         """What the module goes by while service returns."""
         least, most = self.ramp.retry_after(now)
         return i.ServiceLevel(LEVEL, (round(least, 1), round(most, 1)), False)
--- a/yewhook/recovery/snapshot_store.py
+++ b/yewhook/recovery/snapshot_store.py
@@ -128,7 +128,7 @@
     def _shift(found: Snapshot, wrote: float) -> float:
         return wrote - found.state.at if math.isfinite(wrote) else 0.0
 
-    def begin(self, known: tuple[i.Server, ...]) -> tuple[Place, ...]:
+    def initial_servers(self, known: tuple[i.Server, ...]) -> tuple[Place, ...]:
         """The workers to begin with: what the configuration and the snapshot say together, and where those
         are that only the snapshot has."""
         places = dict(from_listed(self._old.state.servers)) if self._old is not None else {}
@@ -154,11 +154,13 @@
         if self._generations is not None:
             self._writing.set(self._settings.every, self._write)
 
-    def listed(self, kind: ListKind, listed: tuple[i.Server, ...], generation: int) -> tuple[i.Server, ...]:
+    def servers_listed(
+        self, kind: ListKind, listed: tuple[i.Server, ...], generation: int
+    ) -> tuple[i.Server, ...]:
         """What the core is to take for the register's list."""
-        return self.recovery.merge(kind, listed, generation, self._loop.now)
+        return self.recovery.merge_list(kind, listed, generation, self._loop.now)
 
-    def heard(self, sender: int, data: bytes) -> None:
+    def message_received(self, sender: int, data: bytes) -> None:
         """Another router's word."""
         try:
             word = peer_messages.unpack(data)
@@ -178,7 +180,7 @@
                 self._tell(peer_messages.pack(self.recovery.message(asks, now)))
         if gone := self.recovery.missed(now):
             self._loop.log("workers gone", f"{len(gone)} that the register left out, and nobody has met")
-            self._kept.router.listed(ListKind.CHANGES, gone)
+            self._kept.router.servers_listed(ListKind.CHANGES, gone)
         self._recall()
         if self._generations is not None and not self._steps and self.recovery.drains != self._drains:
             self._writing.set(0.0, self._write)  # an order is not to be lost to a snapshot that is due later
--- a/yewhook/service.py
+++ b/yewhook/service.py
@@ -69,11 +69,11 @@
         half = self._whole // 2
         self._most = max(half, min(self._whole, self._loop.sockets + OWN_FILES)) if shared else self._whole
 
-    def for_clients(self) -> bool:
+    def can_open_client(self) -> bool:
         clients = self._most - self._sockets * self._most // (self._whole * WORKERS_PART)
-        return self._loop.accepted < clients and self.for_workers()
+        return self._loop.accepted < clients and self.can_open_worker()
 
-    def for_workers(self) -> bool:
+    def can_open_worker(self) -> bool:
         return self._loop.sockets < self._most
 
 
--- a/yewhook/settings_file.py
+++ b/yewhook/settings_file.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from .config import ConfigError, toml
+from .config import ConfigError, read_toml
 from .levels.level import SIGNALS, Level
 from .levels.settings import LevelSettings, LevelsSettings, Mode, Threshold
 from .log import LogFormat
@@ -101,7 +101,7 @@
 
 def read(path: Path) -> ServiceSettings:
     """Raises ConfigError, which names the file, the key, the value and what was expected."""
-    raw = toml(path)
+    raw = read_toml(path)
     try:
         file = msgspec.convert(raw, File)
         recovery = _recovery(file.recovery, path.parent)
--- a/yewhook/site_files.py
+++ b/yewhook/site_files.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from .config import ConfigError, toml
+from .config import ConfigError, read_toml
 
 EFFECTS = ("safe", "unsafe", "keyed")
 GROUPS = ("all", "zone", "cell")
@@ -30,7 +30,7 @@
 
 def read(path: Path) -> Site:
     """Raises ConfigError with the file, the key, its value and what was expected."""
-    raw = toml(path)
+    raw = read_toml(path)
     checked = _Checked(path)
     classes = tuple(checked.cls(n, entry) for n, entry in enumerate(checked.tables(raw, "class")))
     tenants = tuple(
--- a/yewhook/slow_reader.py
+++ b/yewhook/slow_reader.py
@@ -26,7 +26,7 @@
         self._left = 0  # bytes unsent at the last look
         self._taken_at = 0.0  # when the peer last took something
 
-    def watch(self) -> None:
+    def start(self) -> None:
         """The peer has fallen behind."""
         self.watching = True
         self._left, self._taken_at = self._unsent(), self._loop.now
--- a/yewhook/throttle.py
+++ b/yewhook/throttle.py
@@ -15,7 +15,7 @@
         self._call, self._pause = call, Timer(loop)
         self._asked = False
 
-    def ask(self) -> None:
+    def trigger(self) -> None:
         """Run now, or at the end of the pause."""
         if self._pause.running:
             self._asked = True
--- a/yewhook/toolcalls/clients.py
+++ b/yewhook/toolcalls/clients.py
@@ -67,10 +67,10 @@
         self.connection, self.asked, self.id = connection, asked, request_id
 
     @property
-    def left(self) -> bool:
+    def disconnected(self) -> bool:
         return self.connection.peer.channel.ended
 
-    def pass_on(self, event: object) -> None:
+    def send_event(self, event: object) -> None:
         assert isinstance(event, Shown)
         self.connection.peer.notify(event.method, {"requestId": self.asked} | event.params)
 
@@ -78,7 +78,7 @@
         self.connection.done(self)
         self.connection.peer.result(self.asked, {"status": "served"})
 
-    def break_off(self, ending: Ending) -> None:
+    def abort_stream(self, ending: Ending) -> None:
         self._error(TO_CLIENT.get(ending, Code.BROKEN_OFF), f"the stream ended: {ending.name.lower()}")
 
     def refuse(self, retry_after: float) -> None:
@@ -152,7 +152,7 @@
         for exchange in list(self.exchanges.values()):
             self.front.router.client_slow(exchange.id, slow)
         if slow:
-            self.slow_reader.watch()
+            self.slow_reader.start()
         else:
             self.slow_reader.stop()
 
--- a/yewhook/toolcalls/config.py
+++ b/yewhook/toolcalls/config.py
@@ -9,7 +9,7 @@
 
 from hopshed.interface import Settings
 
-from ..config import Address, ConfigError, Names, Table, address, toml, translate
+from ..config import Address, ConfigError, Names, Table, address, read_toml, translate
 
 KEYS = {"listen", "records", "domain", "worker_service", "tool_service", "settings",
         "tool_deadline_s", "worker_silence_s", "connect_timeout_s", "idle_limit_s"}  # fmt: skip
@@ -31,7 +31,7 @@
 
 
 def read(path: Path) -> ToolCallsConfig:
-    table = Table.of(path, toml(path), KEYS)
+    table = Table.parse(path, read_toml(path), KEYS)
     settings, names = _settings(table.file("settings"))
     return ToolCallsConfig(
         listen=address(table.text("listen"), f"{path}: listen"),
--- a/yewhook/toolcalls/fleet.py
+++ b/yewhook/toolcalls/fleet.py
@@ -59,4 +59,4 @@
 
     def _read(self, kind: i.ListKind) -> None:
         entries = [entry(instance) for instance in self._records.browse(self._service)]
-        self._listed(kind, self._worker_list.read({"reset": True, "instances": entries}))
+        self._listed(kind, self._worker_list.parse({"reset": True, "instances": entries}))
--- a/yewhook/toolcalls/front.py
+++ b/yewhook/toolcalls/front.py
@@ -30,7 +30,7 @@
     ) -> None:
         self._config, self._read_again = config, read_again
         self._records = _records(config)
-        pool = PeerPool(loop, room.for_workers, config.connect_timeout, config.idle_limit)
+        pool = PeerPool(loop, room.can_open_worker, config.connect_timeout, config.idle_limit)
         super().__init__(
             loop,
             config.settings,
@@ -48,8 +48,10 @@
             self.releases.release,
             config.worker_silence,
         )
-        self.route(workers, seed)
-        self._fleet = Fleet(loop, self._records, config.worker_service, self.worker_list, self.router.listed)
+        self.create_router(workers, seed)
+        self._fleet = Fleet(
+            loop, self._records, config.worker_service, self.worker_list, self.router.servers_listed
+        )
         self.clients = ClientFront(loop, self.router, config.names)
         self.open(self.clients, config.listen, room, "tool-calls")
 
--- a/yewhook/toolcalls/peers.py
+++ b/yewhook/toolcalls/peers.py
@@ -47,7 +47,7 @@
         if peer.open_requests or peer.channel.unsent:
             peer.close_gracefully()
         else:
-            self.keep(peer)
+            self.put_back(peer)
 
     @staticmethod
     def close_gracefully(peer: Peer) -> None:
--- a/yewhook/toolcalls/tools.py
+++ b/yewhook/toolcalls/tools.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..dnssd import ServiceInstance, in_order
+from ..dnssd import ServiceInstance, order_instances
 from ..jsonrpc import Code, ConnectionLost, Id, Peer, RpcError
 from ..loop import Loop
 from .endings import of_tool
@@ -36,7 +36,7 @@
         while self._left:
             server = self._left.pop(0)
             try:
-                peer = self.tools.pool.take(server.address)
+                peer = self.tools.pool.acquire(server.address)
             except OSError as error:
                 self.tools.loop.log("no connection to a tool server", f"{server.name}: {error}")
                 continue
@@ -87,7 +87,7 @@
         self._browse, self._random = browse, random.Random(seed)
 
     def servers(self, tool: str) -> list[ServiceInstance]:
-        return in_order([s for s in self._browse() if offers(s, tool)], self._random)
+        return order_instances([s for s in self._browse() if offers(s, tool)], self._random)
 
     def call(self, params: dict[str, Any], answered: Answered) -> ToolCall:
         """Begin a call; it may be answered before this returns."""
--- a/yewhook/toolcalls/workers.py
+++ b/yewhook/toolcalls/workers.py
@@ -41,7 +41,7 @@
 
     def begin(self, address: Address, params: dict[str, Any], within: float) -> None:
         """Raises OSError where there is no connection."""
-        self.peer = peer = self.workers.pool.take(address)
+        self.peer = peer = self.workers.pool.acquire(address)
         peer.limit_connect_time(within)
         peer.handler = self
         self.asked = peer.ask("chat/completions", params, self._replied)
@@ -88,7 +88,7 @@
 
     def _show(self, shown: Shown) -> bool:
         self._heard = self.workers.loop.now
-        passed = self.workers.listener.event(self.request_id, self.number, shown)
+        passed = self.workers.listener.stream_event(self.request_id, self.number, shown)
         if passed and not self._streaming:
             self._streaming = True
             self._watch()
@@ -186,7 +186,7 @@
 
 def let_go(pool: PeerPool, address: Address, request_id: str, done: Done) -> Callable[[], None]:
     """Ask a worker to let go of all that is held for a request."""
-    peer = pool.take(address)
+    peer = pool.acquire(address)
 
     def replied(result: Any, error: RpcError | None) -> None:
         pool.give_back(peer) if not isinstance(error, RequestTimedOut) else pool.close_gracefully(peer)
--- a/yewhook/worker_list.py
+++ b/yewhook/worker_list.py
@@ -51,7 +51,7 @@
             float(raw.get("weight") or 1.0),
         )
 
-    def read(self, message: dict[str, Any], told: MessageTimes = NO_TIMES) -> tuple[i.Server, ...]:
+    def parse(self, message: dict[str, Any], told: MessageTimes = NO_TIMES) -> tuple[i.Server, ...]:
         """The servers of a list or of changes; an entry that makes no sense must not hide the others."""
         servers = []
         for raw in message.get("instances") or []:
@@ -85,9 +85,9 @@
         for server, place in listed.items():
             if place is not None:
                 self.addresses.setdefault(server.id, place)
-        return self.keep(listed)
+        return self.set_states(listed)
 
-    def keep(self, servers: Iterable[i.Server]) -> tuple[i.Server, ...]:
+    def set_states(self, servers: Iterable[i.Server]) -> tuple[i.Server, ...]:
         """Go by these states, whatever the list says of them."""
         kept = tuple(servers)
         self.states.update((server.id, server.state) for server in kept)
@@ -98,10 +98,10 @@
         self.addresses.pop(number, None)
         self.states.pop(number, None)
 
-    def in_use(self) -> set[Address]:
+    def active_addresses(self) -> set[Address]:
         there = (n for n, state in self.states.items() if state is not i.ServerState.GONE)
         return {self.addresses[n] for n in there if n in self.addresses}
 
-    def running(self) -> list[Address]:
+    def running_addresses(self) -> list[Address]:
         up = (n for n, state in self.states.items() if state is i.ServerState.RUNNING)
         return [self.addresses[n] for n in up if n in self.addresses]
--- a/yewlab/fleet.py
+++ b/yewlab/fleet.py
@@ -243,7 +243,7 @@
 
     def _first(self, out: Out) -> None:
         if not out.over:
-            self.told.event(out.job.request_id, out.number, "first")
+            self.told.stream_event(out.job.request_id, out.number, "first")
 
     def tell(self, out: Out, ending: Ending) -> None:
         def arrive() -> None:
@@ -254,7 +254,7 @@
             if ending is Ending.READ:
                 note = int(out.job.prompt - out.job.fresh)
             load = out.box.server.load() if ending in HEARD else None
-            self.told.ended(out.job.request_id, out.number, ending, note, load)
+            self.told.attempt_ended(out.job.request_id, out.number, ending, note, load)
 
         self.fleet.sim.after(WIRE, arrive)
 
--- a/yewlab/levels.py
+++ b/yewlab/levels.py
@@ -92,7 +92,7 @@
             for _ in range(count):
                 self.fleet.add(site.ENGINES[role])
         self.hosted = host(self.sim, self.fleet, settings, self.levels, Random(self.seed).getrandbits(32))
-        self.fleet.join(0, self.hosted.router.listed)
+        self.fleet.join(0, self.hosted.router.servers_listed)
 
     def clients(
         self, rate: Callable[[float], float], until: float, phase: Callable[[float], str] = lambda now: "run"
--- a/yewlab/lists.py
+++ b/yewlab/lists.py
@@ -46,7 +46,7 @@
                 entry["lifecycle"] = "draining" if repeat % 2 else "up"
             now, name = 100.0 + repeat, f"r{repeat}"
             began = time.perf_counter()
-            servers = worker_list.read({"reset": True, "instances": entries})
+            servers = worker_list.parse({"reset": True, "instances": entries})
             module.handle(now, [i.ServersListed(i.ListKind.FULL, servers)])
             listed = time.perf_counter()
             module.handle(now, [i.RequestArrived(name, 0, 0, name, 5.0, 1000.0, max_tokens=200.0)])
--- a/yewlab/mass.py
+++ b/yewlab/mass.py
@@ -154,7 +154,7 @@
 
     def join(self, number: int, one: Hosted) -> None:
         """The register tells it of the workers from now on."""
-        self.fleet.join(number, one.router.listed, self.lags[number])
+        self.fleet.join(number, one.router.servers_listed, self.lags[number])
 
     def _tell(self, sender: int, data: bytes) -> None:
         if self.deaf:
--- a/yewlab/power.py
+++ b/yewlab/power.py
@@ -133,7 +133,7 @@
         self.hosted[number] = one
         self.dead.discard(number)
         if not self.register_back:
-            one.router.listed(ListKind.SAVED, self.known)
+            one.router.servers_listed(ListKind.SAVED, self.known)
         self._speak(number, one)
 
     def _host(self, number: int, joins: bool = True) -> Hosted:
@@ -151,8 +151,8 @@
 
         def listed(kind: ListKind, servers: tuple[i.Server, ...]) -> None:
             if recovery is not None:
-                servers = recovery.merge(kind, servers, GENERATION + 1, self.sim.now)
-            one.router.listed(kind, servers)
+                servers = recovery.merge_list(kind, servers, GENERATION + 1, self.sim.now)
+            one.router.servers_listed(kind, servers)
 
         self.fleet.join(number, listed, self.lags[number])
 
--- a/yewlab/simulation.py
+++ b/yewlab/simulation.py
@@ -50,10 +50,10 @@
         self.deadlines.cancel(deadline)
 
     def run(self, until: float) -> None:
-        while (due := self.deadlines.next()) is not None and due <= until:
+        while (due := self.deadlines.next_due()) is not None and due <= until:
             # The tick may lie a rounding below what is due, which would then never be taken out.
             self.now = max(self.now, due, math.ceil(due / TICK - 1e-6) * TICK)
-            for call in self.deadlines.due(self.now):
+            for call in self.deadlines.pop_due(self.now):
                 call()
             while any([decider.turn(self.now) for decider in self.deciders]):
                 pass
--- a/yewlab/workload.py
+++ b/yewlab/workload.py
@@ -250,11 +250,11 @@
         return None
 
     @property
-    def left(self) -> bool:
+    def disconnected(self) -> bool:
         """What clients do here is heard in the moment in which they do it."""
         return False
 
-    def pass_on(self, event: object) -> None:
+    def send_event(self, event: object) -> None:
         self.clients.rules.began(self.id, self.clients.sim.now)
         self.first = self.clients.sim.now
 
@@ -271,7 +271,7 @@
             elif pace <= 2 * cls.token_aim:
                 tally.late[self.turn.cls] += self.worth * cls.late_worth
 
-    def break_off(self, ending: Ending) -> None:
+    def abort_stream(self, ending: Ending) -> None:
         self.clients.rules.answered(self.id, False, self.clients.sim.now)
         self._unserved()
 
