--- a/tests/levels/test_admission.py
+++ b/tests/levels/test_admission.py
@@ -14,13 +14,13 @@
 from yewhook.levels.admission import admit
 from yewhook.levels.fairness import max_min
 from yewhook.levels.level import Level
-from yewhook.levels.turns import Kind, RefusalLoss, Turns, top_classes
+from yewhook.levels.turns import RefusalLoss, TurnKind, Turns, top_classes
 from yewlab import site
 
 LOOKUP, LOG = site.LOOKUP, site.LOG
 SETTINGS = site.settings(quota=20.0)
 TOP = frozenset({LOG})
-KINDS = [Kind(*key) for key in product((LOOKUP, LOG), RefusalLoss, (False, True), (False, True))]
+KINDS = [TurnKind(*key) for key in product((LOOKUP, LOG), RefusalLoss, (False, True), (False, True))]
 
 amounts = st.floats(0.0, 1000.0)
 demands = st.lists(st.dictionaries(st.sampled_from(KINDS), amounts, max_size=12), min_size=3, max_size=3)
@@ -43,7 +43,7 @@
 
 
 def test_one_client_at_five_times_its_share_takes_nothing_from_the_others() -> None:
-    new = Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, False)
+    new = TurnKind(LOOKUP, RefusalLoss.NEW_SESSION, False, False)
     shares = [0.59, 0.23, 0.18]
     demand = [{new: 5 * 100 * shares[0]}, {new: 100 * shares[1]}, {new: 100 * shares[2]}]
     admitted = admit(Level.ESSENTIAL, demand, 100.0, SETTINGS, TOP)
@@ -52,7 +52,7 @@
 
 
 def test_unused_share_goes_to_others() -> None:
-    new = Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, False)
+    new = TurnKind(LOOKUP, RefusalLoss.NEW_SESSION, False, False)
     admitted = admit(Level.ESSENTIAL, [{new: 10.0}, {new: 60.0}, {new: 60.0}], 100.0, SETTINGS, TOP)
     assert admitted[0][new] == 1.0
     assert admitted[1][new] > admitted[2][new] > 0.6
@@ -60,13 +60,13 @@
 
 def test_what_is_worth_least_for_its_work_goes_first() -> None:
     kinds = {
-        Kind(LOOKUP, RefusalLoss.CLIENT_RETRY, False, False): 10.0,
-        Kind(LOOKUP, RefusalLoss.NEW_SESSION, True, False): 10.0,
-        Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, True): 10.0,
-        Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, False): 10.0,
-        Kind(LOOKUP, RefusalLoss.OPEN_SESSION, False, False): 10.0,
-        Kind(LOG, RefusalLoss.NEW_SESSION, False, False): 10.0,
-        Kind(LOG, RefusalLoss.RESUMED_STREAM, False, False): 10.0,
+        TurnKind(LOOKUP, RefusalLoss.CLIENT_RETRY, False, False): 10.0,
+        TurnKind(LOOKUP, RefusalLoss.NEW_SESSION, True, False): 10.0,
+        TurnKind(LOOKUP, RefusalLoss.NEW_SESSION, False, True): 10.0,
+        TurnKind(LOOKUP, RefusalLoss.NEW_SESSION, False, False): 10.0,
+        TurnKind(LOOKUP, RefusalLoss.OPEN_SESSION, False, False): 10.0,
+        TurnKind(LOG, RefusalLoss.NEW_SESSION, False, False): 10.0,
+        TurnKind(LOG, RefusalLoss.RESUMED_STREAM, False, False): 10.0,
     }
     order = list(kinds)
 
@@ -97,7 +97,7 @@
 @settings(max_examples=150, deadline=None)
 @given(levels, demands, st.floats(0.0, 8000.0), st.floats(0.0, 8000.0))
 def test_no_admitted_share_falls_when_capacity_grows(
-    level: Level, demand: list[dict[Kind, float]], one: float, other: float
+    level: Level, demand: list[dict[TurnKind, float]], one: float, other: float
 ) -> None:
     less, more = sorted((one, other))
     for worse, better in zip(
@@ -109,7 +109,7 @@
 @settings(max_examples=150, deadline=None)
 @given(demands, st.floats(0.0, 8000.0), levels, st.floats(0.1, 1.0))
 def test_no_admitted_share_falls_when_load_falls_evenly(
-    demand: list[dict[Kind, float]], capacity: float, level: Level, part: float
+    demand: list[dict[TurnKind, float]], capacity: float, level: Level, part: float
 ) -> None:
     less = [{kind: work * part for kind, work in kinds.items()} for kinds in demand]
     for before, after in zip(
@@ -122,7 +122,9 @@
 
 @settings(max_examples=150, deadline=None)
 @given(demands, st.floats(0.0, 8000.0))
-def test_a_better_level_admits_no_less_of_anything(demand: list[dict[Kind, float]], capacity: float) -> None:
+def test_a_better_level_admits_no_less_of_anything(
+    demand: list[dict[TurnKind, float]], capacity: float
+) -> None:
     by_level = [admit(level, demand, capacity, SETTINGS, TOP) for level in list(Level)[1:]]
     for better, worse in pairwise(by_level):
         for b, w in zip(better, worse, strict=True):
@@ -131,8 +133,8 @@
 
 def test_at_a_threshold_nothing_changes_at_once() -> None:
     # All or nothing at load 1 would make the load swing by itself.
-    new = Kind(LOOKUP, RefusalLoss.NEW_SESSION, False, False)
-    demand: list[dict[Kind, float]] = [{new: 59.0}, {new: 23.0}, {new: 18.0}]
+    new = TurnKind(LOOKUP, RefusalLoss.NEW_SESSION, False, False)
+    demand: list[dict[TurnKind, float]] = [{new: 59.0}, {new: 23.0}, {new: 18.0}]
     shares = [admit(Level.ESSENTIAL, demand, c, SETTINGS, TOP)[0][new] for c in (101.0, 100.0, 99.0, 98.0)]
     assert shares == pytest.approx([1.0, 1.0, 0.99, 0.98], abs=1e-6)
 
@@ -144,24 +146,24 @@
 
 def test_turns_are_told_apart_by_what_their_refusal_would_lose() -> None:
     turns = Turns(SETTINGS, 1.5)
-    assert turns.sort(arrival("a"), 1.0).kind.refusal_loss is RefusalLoss.NEW_SESSION
-    assert turns.sort(arrival("b", repeat=True), 1.0).kind.refusal_loss is RefusalLoss.CLIENT_RETRY
+    assert turns.classify(arrival("a"), 1.0).kind.refusal_loss is RefusalLoss.NEW_SESSION
+    assert turns.classify(arrival("b", repeat=True), 1.0).kind.refusal_loss is RefusalLoss.CLIENT_RETRY
     turns.begun("sa", 1.0)
-    again = turns.sort(arrival("c", session="sa", repeat=True), 2.0)
+    again = turns.classify(arrival("c", session="sa", repeat=True), 2.0)
     assert again.kind.refusal_loss is RefusalLoss.OPEN_SESSION and again.repeat
-    assert turns.sort(arrival("d", resumed=True), 2.0).kind.refusal_loss is RefusalLoss.RESUMED_STREAM
-    assert turns.sort(arrival("e", prompt_tokens=30000.0), 3.0).kind.long
-    burst = [turns.sort(arrival(f"f{n}", tenant=2), 4.0).kind.over_share for n in range(40)]
+    assert turns.classify(arrival("d", resumed=True), 2.0).kind.refusal_loss is RefusalLoss.RESUMED_STREAM
+    assert turns.classify(arrival("e", prompt_tokens=30000.0), 3.0).kind.long
+    burst = [turns.classify(arrival(f"f{n}", tenant=2), 4.0).kind.over_share for n in range(40)]
     assert not burst[0] and burst[-1]  # its quota is 3.6 a second
 
 
 def test_work_is_learnt_from_what_was_served() -> None:
     turns = Turns(SETTINGS, 1.5)
-    before = turns.sort(arrival("a"), 1.0).work
+    before = turns.classify(arrival("a"), 1.0).work
     for _ in range(50):
         turns.streamed(LOOKUP, 3.5)  # 50 tokens at its pace
         turns.read(LOOKUP, False, 1200.0, 1200.0)
-    assert turns.sort(arrival("b"), 1.0).work == pytest.approx(50.0)
+    assert turns.classify(arrival("b"), 1.0).work == pytest.approx(50.0)
     assert before > 100.0
 
 
@@ -170,5 +172,5 @@
     settings = replace(SETTINGS, worth_by_work=False)
     turns = Turns(settings, 1.5)
     for n in range(5):
-        turns.sort(i.RequestArrived(f"r{n}", LOG, 0, "s", 8.0, 900.0, max_tokens=400.0), float(n))
+        turns.classify(i.RequestArrived(f"r{n}", LOG, 0, "s", 8.0, 900.0, max_tokens=400.0), float(n))
     assert top_classes(settings, turns.mean_work) == {LOG}
--- a/tests/levels/test_estimators.py
+++ b/tests/levels/test_estimators.py
@@ -12,14 +12,14 @@
 from hopshed import interface as i
 from yewhook.levels.capacity import Capacity
 from yewhook.levels.discovery_health import KEPT, DiscoveryHealth
-from yewhook.levels.estimators import Mean, Quantiles, Rate, Recent, Share
+from yewhook.levels.estimators import DecayingRate, DecayingRatio, Mean, Quantiles, Recent
 
 R = i.Role
 
 
 def test_a_rate_is_right_from_the_first_seconds_on() -> None:
     # Without the correction a rate read a tenth of itself after one second of a ten-second constant.
-    rate = Rate(10.0, 0.0)
+    rate = DecayingRate(10.0, 0.0)
     for tick in range(1, 11):
         rate.add(0.5, tick / 10.0)
     assert rate.at(1.0) == pytest.approx(5.0, rel=0.06)
@@ -30,7 +30,7 @@
 
 
 def test_a_share_of_too_little_is_held_against_the_least() -> None:
-    share = Share(5.0, 10.0)
+    share = DecayingRatio(5.0, 10.0)
     assert share.at(0.0) == 0.0
     share.add(1.0, True, 0.0)
     assert share.at(0.0) == pytest.approx(0.1)  # one late answer is not all of the service
--- a/tests/levels/test_in_the_lab.py
+++ b/tests/levels/test_in_the_lab.py
@@ -87,8 +87,8 @@
     governor = run.hosted.governor
     assert governor is not None
     script: list[tuple[float, Callable[[], object]]] = [
-        (30.0, lambda: seen.append(governor.ladder.level)),
-        (58.0, lambda: seen.append(governor.ladder.level)),
+        (30.0, lambda: seen.append(governor.level_state.level)),
+        (58.0, lambda: seen.append(governor.level_state.level)),
     ]
     for box in run.fleet.of(role):
         script += [(20.0, partial(run.fleet.drain, box, 1.0)), (60.0, partial(run.fleet.back, box))]
@@ -161,7 +161,7 @@
         run = Run(f"together {seed}", ON, FLEET, quota=20.0)
         governor = run.hosted.governor
         assert governor is not None
-        left.add(round(governor.ladder.wait(Level.GUARDED), 1))
+        left.add(round(governor.level_state.wait(Level.GUARDED), 1))
     assert len(left) == 6 and min(left) >= ON.leave_after
 
 
--- a/tests/levels/test_ladder.py
+++ b/tests/levels/test_level_state.py
@@ -1,4 +1,4 @@
-"""The ladder: fast down, slow up, later after each failed leave, and never by more than it sees."""
+"""The level state machine: fast down, slow up, later after each failed leave, never by more than it sees."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yewhook.levels.ladder import Change, Ladder, Pin
 from yewhook.levels.level import SIGNALS, Level, Signals
+from yewhook.levels.level_state import Change, LevelStateMachine, Pin
 from yewhook.levels.settings import LevelSettings, LevelsSettings, Mode, Threshold
 
 S = LevelsSettings(mode=Mode.ON, leave_spread=0.0)
@@ -17,18 +17,18 @@
 
 
 class Walk:
-    """A ladder that is shown signals look by look."""
+    """A level state machine that is shown signals look by look."""
 
     def __init__(self, settings: LevelsSettings = S, spread: float = 0.0) -> None:
-        self.ladder, self.now = Ladder(settings, spread, 0.0), 0.0
+        self.level_state, self.now = LevelStateMachine(settings, spread, 0.0), 0.0
         self.changes: list[Change] = []
 
     def show(self, seconds: float, **signals: float) -> Level:
         for _ in range(round(seconds / LOOK)):
             self.now += LOOK
-            change = self.ladder.step(self.now, Signals(**signals))
+            change = self.level_state.step(self.now, Signals(**signals))
             self.changes += [change] if change is not None else []
-        return self.ladder.level
+        return self.level_state.level
 
 
 def test_a_condition_is_confirmed_before_its_level_is_entered() -> None:
@@ -71,13 +71,13 @@
     for _ in range(4):
         walk.show(3.0, load=1.02)
         assert walk.show(0.25, load=1.02) is Level.GUARDED
-        waits.append(walk.ladder.wait(Level.GUARDED))
-        while walk.ladder.level is not Level.FULL:
+        waits.append(walk.level_state.wait(Level.GUARDED))
+        while walk.level_state.level is not Level.FULL:
             walk.show(1.0, load=0.1)
     assert waits == [60.0, 240.0, 300.0, 300.0]
     walk.show(2000.0, load=0.1)
     walk.show(3.0, load=1.02)
-    assert walk.ladder.wait(Level.GUARDED) < 300.0  # and a good stay shortens it again
+    assert walk.level_state.wait(Level.GUARDED) < 300.0  # and a good stay shortens it again
 
 
 def test_routers_of_other_seeds_leave_at_other_times() -> None:
@@ -86,7 +86,7 @@
     for n in range(5):
         walk = Walk(spread, n / 4)
         walk.show(3.0, load=1.02)
-        while walk.ladder.level is not Level.FULL:
+        while walk.level_state.level is not Level.FULL:
             walk.show(0.25, load=0.1)
         left.add(walk.now)
     assert len(left) == 5 and max(left) - min(left) >= 25.0
@@ -107,27 +107,27 @@
     walk = Walk()
     walk.show(3.0, load=1.3)
     fewer = replace(S, levels={level: S.levels[level] for level in (Level.GUARDED, Level.LAST_RESORT)})
-    change = walk.ladder.configure(fewer, walk.now)
+    change = walk.level_state.configure(fewer, walk.now)
     assert change is not None and change.condition == "configuration"
-    assert walk.ladder.level is Level.GUARDED
+    assert walk.level_state.level is Level.GUARDED
     assert walk.show(10.0, load=1.3) is Level.GUARDED
     assert walk.show(S.leave_after + 1.0, load=0.1) is Level.FULL
-    assert walk.ladder.configure(fewer, walk.now) is None
+    assert walk.level_state.configure(fewer, walk.now) is None
 
 
 def test_a_pin_holds_whatever_is_seen_and_ends_by_itself() -> None:
     walk = Walk()
-    walk.ladder.set_pin(Pin(Level.THRIFTY, 30.0, "drill"))
+    walk.level_state.set_pin(Pin(Level.THRIFTY, 30.0, "drill"))
     assert walk.show(29.0, load=3.0) is Level.THRIFTY
     assert walk.show(2.0, load=0.1) is Level.THRIFTY  # ended, and left slowly like any other
-    assert walk.ladder.pin is None
+    assert walk.level_state.pin is None
     assert [c.condition for c in walk.changes] == ["pinned", "pin ended"]
     assert walk.show(S.leave_after + 2.0, load=0.1) is Level.GUARDED
-    walk.ladder.set_pin(Pin(Level.ESSENTIAL, 1e9, "drill"))
+    walk.level_state.set_pin(Pin(Level.ESSENTIAL, 1e9, "drill"))
     walk.show(1.0)
-    walk.ladder.set_pin(None)
+    walk.level_state.set_pin(None)
     walk.show(0.5)
-    assert walk.ladder.pin is None
+    assert walk.level_state.pin is None
 
 
 values = st.floats(0.0, 4.0)
--- a/tests/recovery/test_ramp.py
+++ b/tests/recovery/test_ramp.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewhook.levels.turns import Kind, RefusalLoss, Turn
+from yewhook.levels.turns import RefusalLoss, Turn, TurnKind
 from yewhook.recovery.ramp import LEAST, Ramp, Rank, rank
 from yewhook.recovery.settings import RecoverySettings
 
@@ -17,22 +17,22 @@
 def turn(
     cls: int = 0, standing: RefusalLoss = RefusalLoss.NEW_SESSION, over: bool = False, tenant: int = 0
 ) -> Turn:
-    return Turn(Kind(cls, standing, over, False), tenant, 200.0, 2.0, 2.0, 0.0)
+    return Turn(TurnKind(cls, standing, over, False), tenant, 200.0, 2.0, 2.0, 0.0)
 
 
 @pytest.mark.parametrize(
     ("kind", "place"),
     [
-        (Kind(0, RefusalLoss.RESUMED_STREAM, True, False), Rank.BACK),
-        (Kind(1, RefusalLoss.NEW_SESSION, False, False), Rank.TOP),
-        (Kind(1, RefusalLoss.CLIENT_RETRY, False, True), Rank.TOP),
-        (Kind(1, RefusalLoss.NEW_SESSION, True, False), Rank.BEYOND),
-        (Kind(0, RefusalLoss.OPEN_SESSION, False, False), Rank.UNDER_WAY),
-        (Kind(0, RefusalLoss.NEW_SESSION, False, False), Rank.NEW),
-        (Kind(0, RefusalLoss.CLIENT_RETRY, False, False), Rank.BEYOND),
+        (TurnKind(0, RefusalLoss.RESUMED_STREAM, True, False), Rank.BACK),
+        (TurnKind(1, RefusalLoss.NEW_SESSION, False, False), Rank.TOP),
+        (TurnKind(1, RefusalLoss.CLIENT_RETRY, False, True), Rank.TOP),
+        (TurnKind(1, RefusalLoss.NEW_SESSION, True, False), Rank.BEYOND),
+        (TurnKind(0, RefusalLoss.OPEN_SESSION, False, False), Rank.UNDER_WAY),
+        (TurnKind(0, RefusalLoss.NEW_SESSION, False, False), Rank.NEW),
+        (TurnKind(0, RefusalLoss.CLIENT_RETRY, False, False), Rank.BEYOND),
     ],
 )
-def test_the_worthiest_go_first(kind: Kind, place: Rank) -> None:
+def test_the_worthiest_go_first(kind: TurnKind, place: Rank) -> None:
     assert rank(kind, TOP) is place
 
 
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -141,7 +141,7 @@
     play.answered(1, Outcome.UNREACHABLE)
     play.look(12.0)
     play.answered(1, Outcome.UNREACHABLE)  # what it said once has lapsed
-    assert play.recovery.alive()[Role.WRITER] == 1
+    assert play.recovery.workers_alive()[Role.WRITER] == 1
 
 
 def test_the_governor_asks_the_recovery_and_holds_the_levels_meanwhile() -> None:
@@ -159,7 +159,7 @@
     lesser, worthiest = governor.filter_events(100.6, list(asks), lambda now: SIGHT)
     assert isinstance(lesser, i.RequestArrived) and lesser.admit == 0.0
     assert isinstance(worthiest, i.RequestArrived) and worthiest.admit == 1.0
-    assert governor.ladder.level.label == "full"
+    assert governor.level_state.level.label == "full"
 
 
 def test_a_start_that_the_register_tells_of_shows_that_a_worker_runs() -> None:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -184,7 +184,7 @@
     line.close()
     assert told == [False] and line.closed
     line.tell("levels/unpin", {}, told.append)
-    line.inherited()
+    line.close_router_end()
     assert told == [False, False]
 
 
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -10,7 +10,7 @@
 from settings import ENV
 from test_platform import Platform, begin
 
-from yewhook.config import ConfigError, translate
+from yewhook.config import ConfigError, parse_settings
 
 WRITERS = ("writer", "w2", "w3", "w4")
 LIMIT = 1.0  # s for which a state may be held, in the settings of the tests
@@ -140,7 +140,7 @@
 @pytest.mark.parametrize("told", [0, -5, "soon", True, float("inf"), float("nan"), [1000]])
 def test_a_senseless_time_to_let_go_is_refused_by_key_value_and_expectation(told: object) -> None:
     with pytest.raises(ConfigError) as refused:
-        translate(ENV | {"extra": ENV["extra"] | {"let-go-by-ms": told}})
+        parse_settings(ENV | {"extra": ENV["extra"] | {"let-go-by-ms": told}})
     text = str(refused.value)
     assert "extra.let-go-by-ms" in text and repr(told) in text and "milliseconds over 0" in text
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -168,7 +168,7 @@
                 ended = True
             elif ended:
                 continue
-            able = able or (event is Event.ABLE and not succeeded)
+            able = able or (event is Event.WORKERS_KNOWN and not succeeded)
             if event in (Event.DRAIN, Event.RESUME) and not succeeded:
                 drained = event is Event.DRAIN
             if event is Event.SUCCESSOR_READY:
@@ -201,7 +201,8 @@
 def test_a_successor_that_is_lost_gives_the_clients_back_and_keeps_the_order() -> None:
     instance = Instance(State.SUCCEEDING)
     for event, state in (
-        (Event.DRAIN, State.SUCCEEDING), (Event.ABLE, State.DRAINING), (Event.SETTLED, State.DRAINED),
+        (Event.DRAIN, State.SUCCEEDING), (Event.WORKERS_KNOWN, State.DRAINING),
+        (Event.DRAIN_PROPAGATED, State.DRAINED),
         (Event.SUCCESSOR_READY, State.HANDING_OVER), (Event.RESUME, State.HANDING_OVER),
         (Event.SUCCESSOR_LOST, State.DRAINING), (Event.RESUME, State.READY),
         (Event.SUCCESSOR_READY, State.HANDING_OVER), (Event.TERM, State.LEAVING),
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 from scenario import FakePeer, Play
 from settings import ENV
 
-from yewhook.config import Config, ConfigError, Limits, translate
+from yewhook.config import Config, ConfigError, Limits, parse_settings
 from yewhook.platform.front import FIRST_WORD, PlatformFront
 from yewhook.platform.http import EventSplitter
 from yewhook.service import ResourceBudget
@@ -75,7 +75,7 @@
     ) -> None:
         """`heard` = the router has waited for discovery's first word; `env` = settings that are other."""
         super().__init__(SAYINGS | {"list": self.listed})
-        settings, names = translate(ENV | {"instances": routers} | (env or {}))
+        settings, names = parse_settings(ENV | {"instances": routers} | (env or {}))
         self.fleet = dict(fleet)  # a test may add to it
         self.parties = {name: FakePeer() for name in fleet} | {"discovery": FakePeer(keeps=True)}
         self.config = config = Config(
--- a/yewhook/agent/agent.py
+++ b/yewhook/agent/agent.py
@@ -13,7 +13,7 @@
 from ..agent_link import parse_pin
 from ..dnssd import ServiceInstance, master_file
 from ..front import ClientConnections
-from ..jsonrpc import Code, Handler, Id, Peer, RpcError
+from ..jsonrpc import Code, Id, Peer, PeerHandler, RpcError
 from ..loop import Loop
 from ..operations.instance import FrontMode
 from ..operations.orders import ActiveOrder, Order, OrderRefused, Orders
@@ -35,7 +35,7 @@
 class AgentPeers(ClientConnections[Peer]):
     """The connections of those who ask."""
 
-    def __init__(self, loop: Loop, handler: Handler) -> None:
+    def __init__(self, loop: Loop, handler: PeerHandler) -> None:
         super().__init__(loop, PEER_IDLE)
         self._handler = handler
 
--- a/yewhook/agent/client.py
+++ b/yewhook/agent/client.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from ..config import Address
-from ..jsonrpc import RpcError, encode
+from ..jsonrpc import RpcError, encode_message
 
 
 def ask(place: Address, method: str, params: dict[str, Any], timeout: float = 5.0) -> Any:
     """One question to a running agent, for the command line. Raises OSError or RpcError."""
     with socket.create_connection(place, timeout) as sock, sock.makefile("rb") as lines:
-        sock.sendall(encode({"id": 1, "method": method, "params": params}))
+        sock.sendall(encode_message({"id": 1, "method": method, "params": params}))
         line = lines.readline()
     try:
         answer = json.loads(line)
--- a/yewhook/agent/fleet_file.py
+++ b/yewhook/agent/fleet_file.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ..config import Address, ConfigError, Table, address, read_toml
+from ..config import Address, ConfigError, TomlTable, parse_address, read_toml
 from ..config import read as read_config
 from ..settings_file import read as read_settings
 from ..toolcalls.config import read as read_toolcalls
@@ -69,12 +69,14 @@
 
 def read(path: Path) -> FleetFile:
     raw = read_toml(path)
-    agent = Table.parse(path, raw.get("agent"), KEYS["agent"], " in [agent]")
-    place = address(agent.text("listen"), f"{path}: listen")
+    agent = TomlTable.parse(path, raw.get("agent"), KEYS["agent"], " in [agent]")
+    place = parse_address(agent.text("listen"), f"{path}: listen")
     if not ipaddress.ip_address(place[0]).is_loopback:
         raise ConfigError(f"{path}: the agent listens on loopback only, not on {place[0]}")
     tables = raw.get("instance") or []
-    specs = tuple(_spec(Table.parse(path, table, KEYS["instance"], " in [[instance]]")) for table in tables)
+    specs = tuple(
+        _spec(TomlTable.parse(path, table, KEYS["instance"], " in [[instance]]")) for table in tables
+    )
     names = [spec.name for spec in specs]
     if not specs or len(set(names)) < len(names):
         raise ConfigError(f"{path}: expected [[instance]] tables, each with a name of its own")
@@ -89,7 +91,7 @@
     )  # fmt: skip
 
 
-def _spec(table: Table) -> Spec:
+def _spec(table: TomlTable) -> Spec:
     name = table.text("name")
     config = table.file("config") if "config" in table.raw else None
     toolcalls = table.file("toolcalls") if "toolcalls" in table.raw else None
--- a/yewhook/agent/instance.py
+++ b/yewhook/agent/instance.py
@@ -118,7 +118,7 @@
             line.close()
             raise
         finally:
-            line.inherited()
+            line.close_router_end()
         return process, line
 
     def _hold(self) -> socket.socket:
--- a/yewhook/agent/probe.py
+++ b/yewhook/agent/probe.py
@@ -6,7 +6,7 @@
 
 from ..channel import Channel
 from ..config import Address
-from ..jsonrpc import encode
+from ..jsonrpc import encode_message
 from ..loop import Loop
 
 PROBE_TIMEOUT = 1.0  # s for an answer
@@ -17,7 +17,7 @@
 
     QUESTIONS: Mapping[str, bytes] = {
         "platform": b"GET /healthz HTTP/1.1\r\nHost: agent\r\nConnection: close\r\n\r\n",
-        "toolcalls": encode({"id": 1, "method": "ping", "params": {}}),
+        "toolcalls": encode_message({"id": 1, "method": "ping", "params": {}}),
     }
     ANSWERS: Mapping[str, bytes] = {"platform": b"HTTP/1.1 200", "toolcalls": b'"result"'}
 
--- a/yewhook/agent/router_link.py
+++ b/yewhook/agent/router_link.py
@@ -26,7 +26,7 @@
         """Of the router's end, for its process to inherit."""
         return self._theirs.fileno()
 
-    def inherited(self) -> None:
+    def close_router_end(self) -> None:
         self._theirs.close()
 
     def look(self) -> None:
--- a/yewhook/agent_link.py
+++ b/yewhook/agent_link.py
@@ -51,7 +51,7 @@
 def parse_pin(params: dict[str, Any]) -> tuple[Level, float, str]:
     """Level, seconds and reason of a request to pin. Raises RpcError."""
     try:
-        level = Level.named(str(params.get("level")))
+        level = Level.from_label(str(params.get("level")))
     except KeyError:
         names = ", ".join(level.label for level in Level)
         raise RpcError(
--- a/yewhook/cli.py
+++ b/yewhook/cli.py
@@ -72,7 +72,7 @@
             fronts.append(_toolcalls(service, toolcalls, room))
         level_admin = ServiceLevelAdmin(service.loop, service.log, limits, fronts, operators, read_operators)
         if snapshot_store is not None and (pin := snapshot_store.pin) is not None:
-            level_admin.pin(Level.named(pin.level), pin.until - time.time(), pin.reason)
+            level_admin.pin(Level.from_label(pin.level), pin.until - time.time(), pin.reason)
     except (ConfigError, OSError) as error:
         raise usage_error(error) from None
     if not fronts:
--- a/yewhook/commands/common.py
+++ b/yewhook/commands/common.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from ..config import ConfigError, address
+from ..config import ConfigError, parse_address
 from ..jsonrpc import RpcError
 from ..service_settings import ServiceSettings
 
@@ -34,7 +34,7 @@
     from ..agent.client import ask
 
     try:
-        return ask(address(at, "--agent"), method, params, timeout)
+        return ask(parse_address(at, "--agent"), method, params, timeout)
     except ConfigError as error:
         raise usage_error(error) from None
     except RpcError as error:
--- a/yewhook/config.py
+++ b/yewhook/config.py
@@ -61,7 +61,7 @@
     accept_fd: int | None = None  # the clients' listening socket, where the platform holds it
 
 
-def address(text: Any, what: str) -> Address:
+def parse_address(text: Any, what: str) -> Address:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ConfigError(f"{what}: expected host:port, got {text!r}")
@@ -89,14 +89,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Table:
+class TomlTable:
     """A table of a TOML file, whose values are checked as they are taken out."""
 
     path: Path
     raw: dict[str, Any]
 
     @classmethod
-    def parse(cls, path: Path, raw: Any, keys: Set[str], where: str = "") -> Table:
+    def parse(cls, path: Path, raw: Any, keys: Set[str], where: str = "") -> TomlTable:
         if not isinstance(raw, dict):
             raise ConfigError(f"{path}: expected a table{where}")
         if unknown := raw.keys() - keys:
@@ -136,7 +136,7 @@
     )
 
 
-def translate(env: Mapping[str, Any]) -> tuple[Settings, Names]:
+def parse_settings(env: Mapping[str, Any]) -> tuple[Settings, Names]:
     """The module's settings and the names they go by."""
     try:
         return wire.settings(dict(env)), names(env)
@@ -160,7 +160,7 @@
         raise ConfigError(f"{path}: expected an object with 'settings'")
     env = raw["settings"]
     try:
-        settings, known_names = translate(env)
+        settings, known_names = parse_settings(env)
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from error
     caps = env.get("caps") or {}
@@ -171,8 +171,8 @@
     try:
         return Config(
             name=str(environ.get("PROXY_NAME") or raw.get("name") or "router"),
-            listen=address(environ.get("PROXY_LISTEN") or raw.get("listen"), "PROXY_LISTEN"),
-            discovery=address(discovery, "PROXY_DISCOVERY"),
+            listen=parse_address(environ.get("PROXY_LISTEN") or raw.get("listen"), "PROXY_LISTEN"),
+            discovery=parse_address(discovery, "PROXY_DISCOVERY"),
             seed=int(str(raw.get("seed") or "0"), 16),
             settings=settings,
             names=known_names,
@@ -183,10 +183,10 @@
             connect_timeout=float(caps.get("connect-timeout-ms") or 250.0) / 1000.0,
             idle_limit=float(caps.get("conn-idle-ms") or 30000.0) / 1000.0,
             known_workers=raw.get("known") or {},
-            peer_listen=address(raw["peer_listen"], "peer_listen") if raw.get("peer_listen") else None,
-            peers=tuple(address(peer, "peers") for peer in raw.get("peers") or ()),
-            peers_all=address(raw["peers_all"], "peers_all") if raw.get("peers_all") else None,
-            mgmt=address(mgmt, "PROXY_MGMT") if mgmt else None,
+            peer_listen=parse_address(raw["peer_listen"], "peer_listen") if raw.get("peer_listen") else None,
+            peers=tuple(parse_address(peer, "peers") for peer in raw.get("peers") or ()),
+            peers_all=parse_address(raw["peers_all"], "peers_all") if raw.get("peers_all") else None,
+            mgmt=parse_address(mgmt, "PROXY_MGMT") if mgmt else None,
             accept_fd=_descriptor(accept_fd) if accept_fd else None,
         )
     except (TypeError, ValueError) as error:
--- a/yewhook/core/release_call.py
+++ b/yewhook/core/release_call.py
@@ -52,7 +52,7 @@
 
     def __init__(self, candidates: Iterable[Candidate]) -> None:
         ranked = sorted(candidates, key=lambda c: (c.draining, c.doubtful, -c.heard))
-        self.all: tuple[Candidate, ...] = tuple(ranked)
+        self.candidates: tuple[Candidate, ...] = tuple(ranked)
         # Those that run and are not in doubt, those in doubt, and the same of those that drain.
         self._tiers = [tuple(tier) for _, tier in groupby(ranked, lambda c: (c.draining, c.doubtful))]
         self._groups = [{candidate.group for candidate in tier} for tier in self._tiers]
@@ -142,7 +142,7 @@
 
     def _outlasted(self, candidates: Ranking, now: float) -> list[tuple[str, int]]:
         """Where everybody is being asked, the oldest call if it is better made anew on another connection."""
-        everybody = all(candidate.address in self.open for candidate in candidates.all)
+        everybody = all(candidate.address in self.open for candidate in candidates.candidates)
         if not self.open or not everybody or now - next(iter(self.open.values())) < CALL_STEPS * self.step:
             return []
         return [self._take_oldest()]
--- a/yewhook/front.py
+++ b/yewhook/front.py
@@ -19,13 +19,13 @@
 from .liveness import Liveness
 from .loop import Loop, Timer
 from .operations.instance import FrontMode
-from .releases import Ask, Releases
+from .releases import Releases, ReleaseSender
 from .service import Acceptor, ResourceBudget, listen
 from .worker_list import WorkerList
 
 if TYPE_CHECKING:
     from .levels.governor import Governor
-    from .levels.ladder import Change
+    from .levels.level_state import Change
     from .recovery.recovery import Recovery
 
 GRACE_MOST = 3.0  # s; the platform grants the longest patience of a class, and no more than this
@@ -122,7 +122,9 @@
 
 
 O = TypeVar("O", bound=PendingAttempt)  # noqa: E741
-Release = Callable[[str, float, float, Callable[[], None]], None]  # of a request, from a time on, by another
+ReleaseFunction = Callable[
+    [str, float, float, Callable[[], None]], None
+]  # of a request, from a time on, by another
 
 
 class PendingAttempts(Generic[O]):
@@ -130,7 +132,7 @@
 
     listener: AttemptListener
 
-    def __init__(self, loop: Loop, worker_list: WorkerList, release: Release) -> None:
+    def __init__(self, loop: Loop, worker_list: WorkerList, release: ReleaseFunction) -> None:
         self.loop, self._worker_list = loop, worker_list
         self._release = release
         self._out: dict[tuple[str, int], O] = {}
@@ -181,7 +183,9 @@
 class RouterFront:
     front_name = ""  # clients, in a word
 
-    def __init__(self, loop: Loop, settings: i.Settings, names: Names, ask: Ask, liveness: Liveness) -> None:
+    def __init__(
+        self, loop: Loop, settings: i.Settings, names: Names, ask: ReleaseSender, liveness: Liveness
+    ) -> None:
         self.loop, self._settings, self._liveness = loop, settings, liveness
         self.grace = min(GRACE_MOST, max(c.patience for c in settings.classes))
         others = max(1, settings.instances - 1)
@@ -196,7 +200,7 @@
         """Whom a release may ask. A large fleet's ranking is kept for a moment: many releases ask at once."""
         if self.loop.now >= self._ranked_until:
             self._ranking = Ranking(self._release_candidates())
-            self._ranked_until = self.loop.now + RANKING_KEPT * len(self._ranking.all)
+            self._ranked_until = self.loop.now + RANKING_KEPT * len(self._ranking.candidates)
         return self._ranking
 
     def _release_candidates(self) -> list[Candidate]:
--- a/yewhook/jsonrpc.py
+++ b/yewhook/jsonrpc.py
@@ -68,7 +68,7 @@
 Id = str | int
 
 
-class Handler(Protocol):
+class PeerHandler(Protocol):
     """What a peer's own messages are handed to."""
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
@@ -91,14 +91,14 @@
     timer: Deadline | None
 
 
-def encode(message: dict[str, Any]) -> bytes:
+def encode_message(message: dict[str, Any]) -> bytes:
     return json.dumps({"jsonrpc": "2.0"} | message, separators=(",", ":")).encode() + b"\n"
 
 
 class Peer:
     """One end of a connection: asks, is asked, and keeps the two apart."""
 
-    def __init__(self, loop: Loop, handler: Handler) -> None:
+    def __init__(self, loop: Loop, handler: PeerHandler) -> None:
         self.loop, self.handler = loop, handler
         self.channel: Channel
         self.is_connected, self._up_within = False, 0.0  # s that a connection of ours may take
@@ -112,7 +112,7 @@
         self._timer = Timer(loop)  # for the connection to come up, or for a begun message to end
 
     @classmethod
-    def connect(cls, loop: Loop, address: Address, handler: Handler, timeout: float) -> Peer:
+    def connect(cls, loop: Loop, address: Address, handler: PeerHandler, timeout: float) -> Peer:
         """Begin to connect. Raises OSError."""
         peer = cls(loop, handler)
         peer.address = address
@@ -122,7 +122,7 @@
         return peer
 
     @classmethod
-    def accepted(cls, loop: Loop, sock: socket.socket, handler: Handler) -> Peer:
+    def accepted(cls, loop: Loop, sock: socket.socket, handler: PeerHandler) -> Peer:
         """One end of a connection that the other side has opened."""
         peer = cls(loop, handler)
         peer.is_connected, peer.idle_since = True, loop.now
@@ -190,7 +190,7 @@
         self._send({"id": request_id, "error": error.as_object()})
 
     def _send(self, message: dict[str, Any]) -> None:
-        self.channel.send(encode(message))
+        self.channel.send(encode_message(message))
         if self.channel.unsent > UNSENT_LIMIT:
             return self._drop()
         if self.channel.unsent > SLOW and not self._slow:
--- a/yewhook/levels/admission.py
+++ b/yewhook/levels/admission.py
@@ -13,7 +13,7 @@
 
 from .fairness import max_min
 from .level import Level
-from .turns import Kind, RefusalLoss
+from .turns import RefusalLoss, TurnKind
 
 # What refusing a turn loses besides its own worth, as a factor on that: a stream that comes back loses what
 # was answered, a session under way the text kept for it; a repeat has lost its aim once before.
@@ -23,10 +23,10 @@
     RefusalLoss.NEW_SESSION: 1.0,
     RefusalLoss.CLIENT_RETRY: 0.5,
 }
-Shares = Mapping[Kind, float]
+Shares = Mapping[TurnKind, float]
 
 
-def first_level(kind: Kind, top: frozenset[int]) -> Level | None:
+def first_level(kind: TurnKind, top: frozenset[int]) -> Level | None:
     """The best level at which a kind may give way; None for what none refuses."""
     if kind.refusal_loss is RefusalLoss.RESUMED_STREAM:
         return None
@@ -39,7 +39,7 @@
     return Level.LAST_RESORT
 
 
-def value(kind: Kind, settings: Settings, late: float) -> float:
+def value(kind: TurnKind, settings: Settings, late: float) -> float:
     """What a unit of its work is worth: its class's worth, by how much of it is answered late at present."""
     cls = settings.classes[kind.cls]
     worth = cls.worth * (1.0 - late + late * cls.late_worth)
@@ -48,12 +48,12 @@
 
 def admit(
     level: Level,
-    demand: Sequence[Mapping[Kind, float]],
+    demand: Sequence[Mapping[TurnKind, float]],
     capacity: float,
     settings: Settings,
     top: frozenset[int],
     late: float = 0.0,
-) -> list[dict[Kind, float]]:
+) -> list[dict[TurnKind, float]]:
     """For each client the share admitted of each kind of turn that it sends.
 
     `demand` is work a second by client and kind, `capacity` the work a second that can be done of all of it.
@@ -68,12 +68,12 @@
 
 def _client(
     level: Level,
-    kinds: Mapping[Kind, float],
+    kinds: Mapping[TurnKind, float],
     excess: float,
     settings: Settings,
     top: frozenset[int],
     late: float,
-) -> dict[Kind, float]:
+) -> dict[TurnKind, float]:
     shares = dict.fromkeys(kinds, 1.0)
     order = []
     for kind in kinds:
--- a/yewhook/levels/capacity.py
+++ b/yewhook/levels/capacity.py
@@ -34,7 +34,7 @@
             self._use.add(min(busy, BUSY_MOST) * usable * (now - self._looked), now, SPAN)
         self._looked, self._usable = now, usable
 
-    def paused(self) -> None:
+    def discard_interval(self) -> None:
         """What passed since the last look was not seen."""
         self._looked = None
 
@@ -62,9 +62,9 @@
         # Mixed servers' reading shows in their streams: it slows them.
         self.reading.look(reader.busy, reader.usable, now)
 
-    def paused(self) -> None:
-        self.reading.paused()
-        self.writing.paused()
+    def discard_interval(self) -> None:
+        self.reading.discard_interval()
+        self.writing.discard_interval()
 
     def can(self, now: float) -> float | None:
         """Work a second that the scarcer stage could do; None while too little is known of both."""
--- a/yewhook/levels/demand.py
+++ b/yewhook/levels/demand.py
@@ -4,8 +4,8 @@
 
 from hopshed.interface import Settings
 
-from .estimators import Rate
-from .turns import Kind, Turn
+from .estimators import DecayingRate
+from .turns import Turn, TurnKind
 
 SPAN = 10.0  # s; time constant of the rates by which turns are admitted
 LEVEL_SPAN = 30.0  # s; of the one by which the level is judged, which is to change seldom
@@ -15,13 +15,13 @@
     def __init__(self, settings: Settings, now: float) -> None:
         self._began = now
         self.tenants = max(1, len(settings.tenants))
-        self._kinds: list[dict[Kind, Rate]] = [{} for _ in range(self.tenants)]
-        self._all, self._first = Rate(SPAN, now), Rate(LEVEL_SPAN, now)
+        self._kinds: list[dict[TurnKind, DecayingRate]] = [{} for _ in range(self.tenants)]
+        self._all, self._first = DecayingRate(SPAN, now), DecayingRate(LEVEL_SPAN, now)
 
     def came(self, turn: Turn, now: float) -> None:
         kinds = self._kinds[turn.tenant]
         if turn.kind not in kinds:  # their number is bounded: classes x standings x 4
-            kinds[turn.kind] = Rate(SPAN, self._began)
+            kinds[turn.kind] = DecayingRate(SPAN, self._began)
         kinds[turn.kind].add(turn.work, now)
         self._all.add(turn.work, now)
 
@@ -35,7 +35,7 @@
         if not turn.repeat:
             self._first.add(turn.work, now)
 
-    def by_kind(self, tenant: int, now: float) -> dict[Kind, float]:
+    def by_kind(self, tenant: int, now: float) -> dict[TurnKind, float]:
         """Work a second that a client asks for, its repeats included."""
         return {kind: rate.at(now) for kind, rate in self._kinds[tenant].items()}
 
--- a/yewhook/levels/estimators.py
+++ b/yewhook/levels/estimators.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Rate:
+class DecayingRate:
     """Amount a second, fading over a time constant (s); right from the first seconds on, when less has
     passed."""
 
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Share:
+class DecayingRatio:
     """Part of what came that is counted, fading; 0 while less has come lately than `least`."""
 
     constant: float
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -15,11 +15,11 @@
 from .capacity import Capacity
 from .demand import Demand
 from .discovery_health import DiscoveryHealth
-from .estimators import Mean, Quantiles, Rate, Share
-from .ladder import PAUSE, Change, Ladder, Pin
+from .estimators import DecayingRate, DecayingRatio, Mean, Quantiles
 from .level import LEVEL_DESCRIPTIONS, Level, ProcessHealth, Signals
+from .level_state import PAUSE, Change, LevelStateMachine, Pin
 from .settings import LevelsSettings, Mode
-from .turns import Kind, RefusalLoss, Turn, Turns, top_classes
+from .turns import RefusalLoss, Turn, TurnKind, Turns, top_classes
 
 if TYPE_CHECKING:
     from ..recovery.recovery import Recovery
@@ -57,20 +57,20 @@
     ) -> None:
         self.settings, self.levels, self.recovery = settings, levels, recovery
         self._vitals, self._changed = vitals, changed
-        self.ladder = Ladder(levels, Random(f"levels {seed}").random(), now)
+        self.level_state = LevelStateMachine(levels, Random(f"levels {seed}").random(), now)
         self.signals = Signals()
         self._turns = Turns(settings, levels.long_turn)
         self._demand = Demand(settings, now)
         self._register = DiscoveryHealth()
-        self._late = Share(LATE_SPAN, 0.0)
-        self._late_by_class = [Share(LATE_SPAN, 0.0) for _ in settings.classes]
-        self._lost = Share(LOST_SPAN, 3.0)
+        self._late = DecayingRatio(LATE_SPAN, 0.0)
+        self._late_by_class = [DecayingRatio(LATE_SPAN, 0.0) for _ in settings.classes]
+        self._lost = DecayingRatio(LOST_SPAN, 3.0)
         self._waits = Quantiles(WAIT_SPAN)
         self._capacity = Capacity()
-        self._done = Rate(DONE_SPAN, now)
+        self._done = DecayingRate(DONE_SPAN, now)
         self._mean_worth = Mean(0.02)
         self._open: dict[str, _Open] = {}
-        self._shares: list[dict[Kind, float]] = [{} for _ in range(self._demand.tenants)]
+        self._shares: list[dict[TurnKind, float]] = [{} for _ in range(self._demand.tenants)]
         self._next = self._last = now
         self._told: i.ServiceLevel | None = None
 
@@ -113,7 +113,7 @@
         self._demand = Demand(self.settings, now)
         self._shares = [{} for _ in range(self._demand.tenants)]
         self._waits = Quantiles(WAIT_SPAN)
-        self._capacity.paused()
+        self._capacity.discard_interval()
         self._next = now + EVALUATION_INTERVAL_S
 
     # ---- what is heard ----
@@ -140,7 +140,7 @@
         return event
 
     def _arrived(self, event: i.RequestArrived, now: float) -> i.Event:
-        turn = self._turns.sort(event, now)
+        turn = self._turns.classify(event, now)
         self._demand.came(turn, now)
         self._mean_worth.add(turn.worth)
         self._open[event.id] = _Open(
@@ -201,21 +201,21 @@
         self.signals = self._judge(now, sight)
         if self.recovery is not None:
             self.recovery.update(now, sight, self._mean_worth.known(1.0))
-            if self.recovery.active and self.ladder.pin is None:
+            if self.recovery.active and self.level_state.pin is None:
                 # The phase rules while service returns: what is seen then says nothing of a level.
                 self._shares = [{} for _ in range(self._demand.tenants)]
                 return
-        change = self.ladder.step(now, self.signals)
+        change = self.level_state.step(now, self.signals)
         if change is not None:
             self._changed(change)
-        if self.ladder.level is Level.FULL:
+        if self.level_state.level is Level.FULL:
             self._shares = [{} for _ in range(self._demand.tenants)]
             return
         demand = [self._demand.by_kind(tenant, now) for tenant in range(self._demand.tenants)]
         can = self._capacity.can(now)
         capacity = self._demand.all(now) if can is None else can * self.levels.target
         top = top_classes(self.settings, self._turns.mean_work)
-        self._shares = admit(self.ladder.level, demand, capacity, self.settings, top, self.signals.late)
+        self._shares = admit(self.level_state.level, demand, capacity, self.settings, top, self.signals.late)
 
     def _judge(self, now: float, sight: dict[Role, i.RoleUsage]) -> Signals:
         vitals = self._vitals()
@@ -254,11 +254,11 @@
         return min(LOAD_MOST, asked / max(can, asked / LOAD_MOST))
 
     def _tell(self, now: float) -> list[i.Event]:
-        level, settings = self.ladder.level, self.levels
+        level, settings = self.level_state.level, self.levels
         event = i.ServiceLevel()
         if level is not Level.FULL and settings.mode is Mode.ON:
             # Once calm it holds turns again: the long wait that leaving takes need not be paid for in full.
-            certain = level is Level.LAST_RESORT and not self.ladder.calm
+            certain = level is Level.LAST_RESORT and not self.level_state.calm
             event = i.ServiceLevel(level.label, settings.levels[level].retry_after, certain)
         if self.recovery is not None and self.recovery.active and not event.certain:
             event = self.recovery.service_level(now)
@@ -270,17 +270,17 @@
     # ---- operators ----
 
     def pin(self, level: Level, seconds: float, reason: str, now: float) -> None:
-        self.ladder.set_pin(Pin(level, now + seconds, reason))
+        self.level_state.set_pin(Pin(level, now + seconds, reason))
         self._next = now
 
     def unpin(self) -> None:
-        self.ladder.set_pin(None)
+        self.level_state.set_pin(None)
 
     def configure(self, levels: LevelsSettings, now: float) -> None:
         """Put other settings in force; a level that they don't know is left at once."""
         self.levels = levels
         self._turns.long_turn = levels.long_turn
-        change = self.ladder.configure(levels, now)
+        change = self.level_state.configure(levels, now)
         if change is not None:
             self._changed(change)
         self._next = now
@@ -291,13 +291,13 @@
 
     def report(self, now: float) -> dict[str, Any]:
         """For operators, as JSON holds it."""
-        pin = self.ladder.pin
-        level = self.ladder.level
+        pin = self.level_state.pin
+        level = self.level_state.level
         return {
             "mode": self.levels.mode.value,
             "level": level.label,
             "meaning": LEVEL_DESCRIPTIONS[level],
-            "since_s": round(now - self.ladder.since, 1),
+            "since_s": round(now - self.level_state.since, 1),
             "signals": {name: round(self.signals.value(name), 3) for name in self.signals.__slots__},
             "late_by_class": [round(share.at(now), 3) for share in self._late_by_class],
             "admitted": [round(self._admitted(tenant, now), 3) for tenant in range(self._demand.tenants)],
--- a/yewhook/levels/level.py
+++ b/yewhook/levels/level.py
@@ -22,7 +22,7 @@
         return self.name.lower().replace("_", "-")
 
     @classmethod
-    def named(cls, label: str) -> Level:
+    def from_label(cls, label: str) -> Level:
         """Raises KeyError for a name that no level has."""
         return {level.label: level for level in cls}[label]
 
--- a/yewhook/levels/ladder.py
+++ b/yewhook/levels/level_state.py
@@ -30,7 +30,7 @@
     reason: str
 
 
-class Ladder:
+class LevelStateMachine:
     """The state between looks. `spread` in 0 to 1 is drawn by the router's seed."""
 
     def __init__(self, settings: LevelsSettings, spread: float, now: float) -> None:
--- a/yewhook/levels/turns.py
+++ b/yewhook/levels/turns.py
@@ -28,7 +28,7 @@
     CLIENT_RETRY = 3  # the client's own repeat: nothing that was not lost before
 
 
-class Kind(NamedTuple):
+class TurnKind(NamedTuple):
     cls: int
     refusal_loss: RefusalLoss
     over_share: bool  # beyond its client's share
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    kind: Kind
+    kind: TurnKind
     tenant: int
     work: float  # in tokens of answer
     worth: float  # of all of it, if answered within its aim
@@ -58,12 +58,12 @@
         self._sessions = Recent(SESSION_SPAN)
         self._quotas = Quotas(settings)
 
-    def sort(self, ev: RequestArrived, now: float) -> Turn:
+    def classify(self, ev: RequestArrived, now: float) -> Turn:
         under_way = self._sessions.seen(ev.session, now)
         work = self._work_of(ev, under_way)
         mean = self._work[ev.cls]
         over = self._quotas.over_quota(ev.tenant, now)
-        kind = Kind(ev.cls, self._standing(ev, under_way), over, self._long(work, mean))
+        kind = TurnKind(ev.cls, self._standing(ev, under_way), over, self._long(work, mean))
         mean.add(work)
         cls = self.settings.classes[ev.cls]
         worth = cls.worth * (work if self.settings.worth_by_work else 1.0)
--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -12,7 +12,7 @@
 from .log import Log
 from .transient_errors import retry_transient
 
-Handler = Callable[[int], None]
+EventHandler = Callable[[int], None]
 LONG_TURN = 0.1  # s; a turn that takes longer is logged: nothing else is heard meanwhile
 
 
@@ -45,7 +45,7 @@
         self._selector = retry_transient(selectors.DefaultSelector)
         self._first: set[int] = set()  # files that are heard before all others
 
-    def watch(self, sock: HasFile, events: int, handler: Handler, first: bool = False) -> None:
+    def watch(self, sock: HasFile, events: int, handler: EventHandler, first: bool = False) -> None:
         """Watch a socket or a pipe's end for these events (0 = none); `first` = before others in a turn."""
         known = sock.fileno() in self._selector.get_map()
         if first and events:
--- a/yewhook/operations/instance.py
+++ b/yewhook/operations/instance.py
@@ -25,10 +25,10 @@
 
 
 class Event(Enum):
-    ABLE = auto()  # it knows a list of workers
+    WORKERS_KNOWN = auto()  # it knows a list of workers
     DRAIN = auto()  # an operator's order
     RESUME = auto()  # its end
-    SETTLED = auto()  # the front has had time to hear the no and to stop sending
+    DRAIN_PROPAGATED = auto()  # the front has had time to hear the no and to stop sending
     SUCCESSOR_READY = auto()
     SUCCESSOR_LOST = auto()
     PREDECESSOR_LOST = auto()
@@ -63,25 +63,25 @@
 
 _MOVES: dict[State, dict[Event, State]] = {
     State.STARTING: {
-        Event.ABLE: State.READY, Event.SUCCESSOR_READY: State.HANDING_OVER, Event.TERM: State.ENDING,
+        Event.WORKERS_KNOWN: State.READY, Event.SUCCESSOR_READY: State.HANDING_OVER, Event.TERM: State.ENDING,
     },
     State.SUCCEEDING: {
-        Event.ABLE: State.READY, Event.PREDECESSOR_LOST: State.STARTING,
+        Event.WORKERS_KNOWN: State.READY, Event.PREDECESSOR_LOST: State.STARTING,
         Event.SUCCESSOR_READY: State.HANDING_OVER, Event.TERM: State.LEAVING,
     },
     State.READY: {
         Event.DRAIN: State.DRAINING, Event.SUCCESSOR_READY: State.HANDING_OVER, Event.TERM: State.LASTING,
     },
     State.DRAINING: {
-        Event.RESUME: State.READY, Event.SETTLED: State.DRAINED,
+        Event.RESUME: State.READY, Event.DRAIN_PROPAGATED: State.DRAINED,
         Event.SUCCESSOR_READY: State.HANDING_OVER, Event.TERM: State.ENDING,
     },
     State.DRAINED: {
         Event.RESUME: State.READY, Event.SUCCESSOR_READY: State.HANDING_OVER, Event.TERM: State.ENDING,
     },
     State.HANDING_OVER: {Event.SUCCESSOR_LOST: State.READY, Event.TERM: State.LEAVING},
-    State.LASTING: {Event.SETTLED: State.ENDING, Event.SUCCESSOR_READY: State.LEAVING},
-    State.ENDING: {Event.SETTLED: State.LEAVING, Event.SUCCESSOR_READY: State.LEAVING},
+    State.LASTING: {Event.DRAIN_PROPAGATED: State.ENDING, Event.SUCCESSOR_READY: State.LEAVING},
+    State.ENDING: {Event.DRAIN_PROPAGATED: State.LEAVING, Event.SUCCESSOR_READY: State.LEAVING},
     State.LEAVING: {},
 }  # fmt: skip
 
--- a/yewhook/platform/front.py
+++ b/yewhook/platform/front.py
@@ -13,7 +13,7 @@
 from ..front import RouterFront
 from ..loop import Loop
 from ..operations.instance import FrontMode
-from ..service import ResourceBudget, inherited
+from ..service import ResourceBudget, adopt_listener
 from ..start_times import MessageTimes
 from ..throttle import Throttle
 from .clients import ClientFront
@@ -26,7 +26,9 @@
     from ..operations.handover_encoding import HandOver
     from ..recovery.snapshot_store import SnapshotStore
 
-WORD = b"P"  # with which other routers' words for the recovery begin; the module's begin with others
+RECOVERY_MESSAGE_MARK = (
+    b"P"  # with which other routers' words for the recovery begin; the module's begin with others
+)
 # Servers from which on connections to those that have gone are not looked for at each message, and the s for
 # each of them between looks: some 100 times what one costs.
 MANY_SERVERS, CLOSE_UNUSED_EVERY = 400, 5e-5
@@ -71,7 +73,7 @@
             )
             self.router.tell = self.peers.tell
         self.clients = ClientFront(loop, self.router, config.names, room.body_bytes)
-        listener = inherited(config.accept_fd) if config.accept_fd is not None else None
+        listener = adopt_listener(config.accept_fd) if config.accept_fd is not None else None
         self.open(self.clients, config.listen, room, "the platform's", listener)
         self._unused = Throttle(loop, self._close_unused)
         # The router's seed is new with each start and another at each router.
@@ -97,7 +99,7 @@
         return int(self._config.known_workers.get("generation") or 0)
 
     def _peer_said(self, sender: int, data: bytes) -> None:
-        if self._snapshot_store is not None and data[:1] == WORD:
+        if self._snapshot_store is not None and data[:1] == RECOVERY_MESSAGE_MARK:
             self._snapshot_store.message_received(sender, data)
         else:
             self.router.peer_message(sender, data)
--- a/yewhook/platform/reservations.py
+++ b/yewhook/platform/reservations.py
@@ -6,7 +6,7 @@
 
 from ..config import Address
 from ..core.ending import Ending
-from ..releases import Done
+from ..releases import DoneCallback
 from . import http
 from .workers import WorkerPool
 
@@ -17,7 +17,7 @@
     unfinished = False
     told = 0
 
-    def __init__(self, done: Done) -> None:
+    def __init__(self, done: DoneCallback) -> None:
         self._done, self._status = done, 0
 
     def begun(self, status: int, headers: dict[str, str]) -> None:
@@ -33,7 +33,7 @@
         self._done(False)
 
 
-def delete(pool: WorkerPool, address: Address, request_id: str, done: Done) -> Callable[[], None]:
+def delete(pool: WorkerPool, address: Address, request_id: str, done: DoneCallback) -> Callable[[], None]:
     request = http.head(
         f"DELETE /internal/reservations/{request_id} HTTP/1.1",
         {"Host": f"{address[0]}:{address[1]}", "Content-Length": "0"},
--- a/yewhook/platform/workers.py
+++ b/yewhook/platform/workers.py
@@ -14,7 +14,7 @@
 from ..config import Address
 from ..connection_pool import ConnectionPool
 from ..core.ending import Ending
-from ..front import PendingAttempts, Release
+from ..front import PendingAttempts, ReleaseFunction
 from ..loop import Loop, Timer
 from ..worker_list import WorkerList
 from . import http
@@ -373,7 +373,7 @@
         pool: WorkerPool,
         columns: tuple[str, ...],
         worker_list: WorkerList,
-        release: Release,
+        release: ReleaseFunction,
     ) -> None:
         super().__init__(pool.loop, worker_list, release)
         self.pool, self.columns = pool, columns
--- a/yewhook/recovery/ramp.py
+++ b/yewhook/recovery/ramp.py
@@ -11,9 +11,9 @@
 from collections.abc import Sequence
 from enum import IntEnum
 
-from ..levels.estimators import Rate, Share
+from ..levels.estimators import DecayingRate, DecayingRatio
 from ..levels.fairness import max_min
-from ..levels.turns import Kind, RefusalLoss, Turn
+from ..levels.turns import RefusalLoss, Turn, TurnKind
 from .settings import RecoverySettings
 
 DEPTH = 1.0  # s of the rate that the bucket holds; one turn at least
@@ -42,7 +42,7 @@
 LINES = {Rank.UNDER_WAY: 0.0, Rank.NEW: 0.3, Rank.BEYOND: 0.6}
 
 
-def rank(kind: Kind, top: frozenset[int]) -> Rank:
+def rank(kind: TurnKind, top: frozenset[int]) -> Rank:
     if kind.refusal_loss is RefusalLoss.RESUMED_STREAM:
         return Rank.BACK
     if kind.over_share:
@@ -59,13 +59,13 @@
         """`weights` = the clients' shares; none of them known = one client."""
         self.settings, self._weights = settings, list(weights) or [1.0]
         self.rate = 0.0  # turns a second, of the ranks that have a line
-        self.late = Share(LATE_SPAN, 0.0)  # worth that was late or lost
+        self.late = DecayingRatio(LATE_SPAN, 0.0)  # worth that was late or lost
         self._level, self._at = 0.0, now
         self._looked = self._cut_at = now
         self._beyond = 1.0  # times what is shown, that is tried
-        self._asked = [Rate(DEMAND_SPAN, now) for _ in self._weights]  # turns a second by client
-        self._got = [Rate(DEMAND_SPAN, now) for _ in self._weights]
-        self._first, self._refused = Rate(DEMAND_SPAN, now), Rate(DEMAND_SPAN, now)
+        self._asked = [DecayingRate(DEMAND_SPAN, now) for _ in self._weights]  # turns a second by client
+        self._got = [DecayingRate(DEMAND_SPAN, now) for _ in self._weights]
+        self._first, self._refused = DecayingRate(DEMAND_SPAN, now), DecayingRate(DEMAND_SPAN, now)
 
     # ---- the rate ----
 
--- a/yewhook/recovery/recovery.py
+++ b/yewhook/recovery/recovery.py
@@ -16,14 +16,14 @@
 from hopshed.interface import ListKind, Outcome, Role, ServerState
 from hopshed.slow_start import WORK_RATE_TIME_CONSTANT_S
 
-from ..levels.estimators import Share
+from ..levels.estimators import DecayingRatio
 from ..levels.turns import RefusalLoss, Turn
 from .peer_messages import PeerMessage, Seen, choose
 from .phases import WAITS_FOR, WARM, Phase, PhaseEvidence, PhaseState
 from .ramp import LATE_SPAN, Ramp, Rank, rank
 from .restart_scope import Evidence, Scope, ScopeEstimate, estimate_scope
 from .settings import RecoverySettings
-from .trust import LIVES, Fact, Kind, Ledger, Source
+from .trust import LIVES, Fact, FactKind, Ledger, Source
 
 FEW = 2.0  # turns, below which lateness says little
 FIRST_TURNS = 0.5  # turns a second for each usable server over all routers, where no pace is known
@@ -98,7 +98,9 @@
         self._lost: dict[int, float] = {}  # worker -> when nothing came back from it
         self._warm = 0.0
         self._mean_worth = 1.0
-        self._own_late = Share(LATE_SPAN, 0.0)  # what other routers are told; theirs must not come round
+        self._own_late = DecayingRatio(
+            LATE_SPAN, 0.0
+        )  # what other routers are told; theirs must not come round
 
     @property
     def active(self) -> bool:
@@ -116,17 +118,19 @@
         """What to begin with, before the register has spoken: the configuration's list and the snapshot's."""
         for server in known:
             self._note_server(server, Source.KNOWN, now)
-        facts = (self.ledger.best(Kind.LISTED, n, now) for n in sorted(self.ledger.about(Kind.LISTED)))
+        facts = (
+            self.ledger.best(FactKind.LISTED, n, now) for n in sorted(self.ledger.about(FactKind.LISTED))
+        )
         return tuple(self._drained(f.value, True) for f in facts if f and isinstance(f.value, i.Server))
 
     def _note_server(self, server: i.Server, source: Source, at: float) -> None:
         note, n = self.ledger.note, server.id
-        note(Fact(Kind.LISTED, n, server, source, at))
-        note(Fact(Kind.STARTED, n, server.started, source, at))
+        note(Fact(FactKind.LISTED, n, server, source, at))
+        note(Fact(FactKind.STARTED, n, server.started, source, at))
         if server.state is ServerState.DRAINING:
-            note(Fact(Kind.DRAIN, n, server.started, source, at))
+            note(Fact(FactKind.DRAIN, n, server.started, source, at))
         elif server.state is ServerState.RUNNING:
-            note(Fact(Kind.RUNS, n, True, source, at))
+            note(Fact(FactKind.RUNS, n, True, source, at))
 
     def merge_list(
         self, kind: ListKind, servers: tuple[i.Server, ...], generation: int, now: float
@@ -173,18 +177,18 @@
 
     def _drained(self, server: i.Server, back: bool) -> i.Server:
         """A drain ends by the register's later word or with its process, not by a list from before it."""
-        order = self.ledger.best(Kind.DRAIN, server.id, self.began)
+        order = self.ledger.best(FactKind.DRAIN, server.id, self.began)
         if order is None or server.state is not ServerState.RUNNING:
             return server
         began_after = server.started is not None and server.started != order.value
         from_before = order.source is Source.SNAPSHOT and self._generation_back
         if began_after or not (back or from_before):
-            self.ledger.end(Kind.DRAIN, server.id)
+            self.ledger.end(FactKind.DRAIN, server.id)
             return server
         return server._replace(state=ServerState.DRAINING)
 
     @property
-    def drains(self) -> frozenset[int]:
+    def draining_workers(self) -> frozenset[int]:
         """Workers that are told to drain."""
         return frozenset(n for n, s in self._servers.items() if s.state is ServerState.DRAINING)
 
@@ -210,7 +214,7 @@
                 self._gone(event.server, now)
 
     def _alive(self, server: int, now: float) -> None:
-        self.ledger.note(Fact(Kind.RUNS, server, True, Source.ANSWERS, now))
+        self.ledger.note(Fact(FactKind.RUNS, server, True, Source.ANSWERS, now))
         self._lost.pop(server, None)
         self._prove(server, now)
 
@@ -221,8 +225,8 @@
 
     def _gone(self, server: int, now: float) -> None:
         """Nothing came back; of a worker that has answered somebody lately, that says little."""
-        if self.ledger.belief(Kind.RUNS, server, now) <= LIVES / 2 or not self._shown(server, now):
-            self.ledger.end(Kind.RUNS, server)
+        if self.ledger.belief(FactKind.RUNS, server, now) <= LIVES / 2 or not self._shown(server, now):
+            self.ledger.end(FactKind.RUNS, server)
             self._proven.pop(server, None)
             self._lost[server] = now
         if server in self._missed:
@@ -254,18 +258,18 @@
         """Another router's word."""
         self._routers[sender] = (now - word.up_for, now)
         count = sum(now - heard < ROUTER_HEARD for _, heard in self._routers.values()) + 1
-        self.ledger.note(Fact(Kind.ROUTERS, 0, count, Source.PEERS, now))
+        self.ledger.note(Fact(FactKind.ROUTERS, 0, count, Source.PEERS, now))
         self.ramp.late.add(word.turns * self._mean_worth * word.late, True, now)
         self.ramp.late.add(word.turns * self._mean_worth * (1.0 - word.late), False, now)
         for seen in word.workers:
             at = now - seen.age
             if seen.runs and seen.server in self._servers:
-                self.ledger.note(Fact(Kind.RUNS, seen.server, True, Source.PEERS, at))
+                self.ledger.note(Fact(FactKind.RUNS, seen.server, True, Source.PEERS, at))
                 self._prove(seen.server, now)
 
     def message(self, asks: bool, now: float) -> PeerMessage:
         """What this router tells of itself and of the workers that it has met lately."""
-        met = (self.ledger.best(Kind.RUNS, n, now) for n in self.ledger.about(Kind.RUNS))
+        met = (self.ledger.best(FactKind.RUNS, n, now) for n in self.ledger.about(FactKind.RUNS))
         seen = [Seen(f.about, True, now - f.at) for f in met if f and f.source is Source.ANSWERS]
         seen += [Seen(n, False, now - at) for n, at in self._lost.items() if now - at < LOST_FOR]
         late, worth = self._own_late.at(now), self._own_late.all.decayed(now, LATE_SPAN)
@@ -273,7 +277,7 @@
         return PeerMessage(asks, self.phase_state.phase, now - self.began, workers, late, turns)
 
     def _shown(self, server: int, now: float) -> bool:
-        fact = self.ledger.best(Kind.RUNS, server, now)
+        fact = self.ledger.best(FactKind.RUNS, server, now)
         return fact is not None and fact.source in (Source.ANSWERS, Source.PEERS)
 
     # ---- looks ----
@@ -314,7 +318,7 @@
         stages = [(sight[role].usable + mixed.usable, sight[role].listed + mixed.listed)
                   for role in (Role.READER, Role.WRITER)]  # fmt: skip
         self._warm = min(usable / listed if listed else 0.0 for usable, listed in stages)
-        alive = self.alive()
+        alive = self.workers_alive()
         proven = bool(alive[Role.MIXED] or (alive[Role.READER] and alive[Role.WRITER]))
         return PhaseEvidence(
             path=all(listed for _, listed in stages),
@@ -333,7 +337,7 @@
         cold = sum(at is not None and now - at < self._module.cold_time for at in began)
         return cold <= (1.0 - WARM) * len(began)
 
-    def alive(self) -> Alive:
+    def workers_alive(self) -> Alive:
         """Workers of each role that have shown themselves, to this router or to another one."""
         found = dict.fromkeys(Role, 0)
         for server in self._shown_servers():
@@ -404,8 +408,8 @@
     def report(self, now: float) -> dict[str, Any]:
         past = self._past
         by_source: dict[str, int] = {}
-        for number in self.ledger.about(Kind.LISTED):
-            if (fact := self.ledger.best(Kind.LISTED, number, now)) is not None:
+        for number in self.ledger.about(FactKind.LISTED):
+            if (fact := self.ledger.best(FactKind.LISTED, number, now)) is not None:
                 by_source[fact.source.value] = by_source.get(fact.source.value, 0) + 1
         return {
             "phase": self.phase_state.phase.label,
@@ -414,7 +418,7 @@
             "judged": str(self.scope_estimate),
             "snapshot_age_s": round(now - past.wrote, 1) if past is not None else None,
             "workers_by_source": by_source,
-            "alive": {role.value: count for role, count in self.alive().items()},
+            "alive": {role.value: count for role, count in self.workers_alive().items()},
             "warm": round(self._warm, 3),
             "routers": len(self._routers) + 1,
             "admits": self.ramp.figures(now),
--- a/yewhook/recovery/snapshot_restore.py
+++ b/yewhook/recovery/snapshot_restore.py
@@ -11,7 +11,7 @@
 from hopshed.state import Session
 
 from .restart_scope import Scope
-from .trust import Kind, Source, belief
+from .trust import FactKind, Source, belief
 
 K = TypeVar("K", bound=Estimate | Session)
 
@@ -21,7 +21,7 @@
 
     After the fleet's loss nothing is kept at workers, and none is as it was; what clients ask is."""
 
-    def holds(kind: Kind, at: float) -> bool:
+    def holds(kind: FactKind, at: float) -> bool:
         return belief(kind, Source.SNAPSHOT, now - at) > 0
 
     def moved(one: K) -> K:
@@ -30,15 +30,15 @@
     alone = scope is Scope.ALONE
     texts = [(key, moved(session)) for key, session in known.sessions if alone]
     kept = [(server, key, moved(used)) for server, key, used in known.kept if alone]
-    healthy = alone and holds(Kind.PACE, wrote)
+    healthy = alone and holds(FactKind.PACE, wrote)
     spent = [(level, at + shift) for level, at in known.quotas]
     return replace(
         known,
         servers={n: replace(one, wait_at=one.wait_at + shift) for n, one in known.servers.items() if healthy},
         work={},
-        sessions=[(key, session) for key, session in texts if holds(Kind.TEXT, session.at)],
-        kept=[(server, key, used) for server, key, used in kept if holds(Kind.TEXT, used.at)],
+        sessions=[(key, session) for key, session in texts if holds(FactKind.TEXT, session.at)],
+        kept=[(server, key, used) for server, key, used in kept if holds(FactKind.TEXT, used.at)],
         seen=[(key, moved(seen)) for key, seen in known.seen] if math.isfinite(wrote) else [],
-        pace=known.pace if holds(Kind.PACE, wrote) else {},
-        quotas=[(level, at) for level, at in spent] if holds(Kind.SPENT, wrote) else [],
+        pace=known.pace if holds(FactKind.PACE, wrote) else {},
+        quotas=[(level, at) for level, at in spent] if holds(FactKind.SPENT, wrote) else [],
     )
--- a/yewhook/recovery/snapshot_store.py
+++ b/yewhook/recovery/snapshot_store.py
@@ -182,7 +182,11 @@
             self._loop.log("workers gone", f"{len(gone)} that the register left out, and nobody has met")
             self._kept.router.servers_listed(ListKind.CHANGES, gone)
         self._recall()
-        if self._generations is not None and not self._steps and self.recovery.drains != self._drains:
+        if (
+            self._generations is not None
+            and not self._steps
+            and self.recovery.draining_workers != self._drains
+        ):
             self._writing.set(0.0, self._write)  # an order is not to be lost to a snapshot that is due later
         self._timer.set(LOOK_EVERY, self._look)
 
@@ -205,7 +209,7 @@
 
     def _write(self) -> None:
         assert self._kept is not None and self._generations is not None
-        self._drains = self.recovery.drains
+        self._drains = self.recovery.draining_workers
         began = time.perf_counter()
         try:
             data = pack(self._snapshot(self._kept))
@@ -239,7 +243,7 @@
         turns = levels.turn_rate(self._loop.now) if levels is not None else 0.0
         if self.recovery.active and self._old is not None:
             turns = self._old.turns  # what is usual shows in full service only
-        pin = levels.ladder.pin if levels is not None else None
+        pin = levels.level_state.pin if levels is not None else None
         held = None
         if pin is not None:
             held = Pinned(pin.level.label, clocks.wall + pin.until - self._loop.now, pin.reason)
--- a/yewhook/releases.py
+++ b/yewhook/releases.py
@@ -11,9 +11,9 @@
 
 MAX_CALLS = 32  # open at once, of all releases together; each release may have one, however many there are
 
-Done = Callable[[bool], None]
+DoneCallback = Callable[[bool], None]
 # Asks one worker to let go of all that is held for a request; returns what gives the call up. Raises OSError.
-Ask = Callable[[Address, str, Done], Callable[[], None]]
+ReleaseSender = Callable[[Address, str, DoneCallback], Callable[[], None]]
 
 
 class _Release:
@@ -95,7 +95,7 @@
 class Releases:
     """All releases of a front that no worker has confirmed yet."""
 
-    def __init__(self, loop: Loop, ask: Ask, candidates: Callable[[], Ranking]) -> None:
+    def __init__(self, loop: Loop, ask: ReleaseSender, candidates: Callable[[], Ranking]) -> None:
         self.loop, self.ask, self.candidates = loop, ask, candidates
         self._open: set[_Release] = set()
 
--- a/yewhook/service.py
+++ b/yewhook/service.py
@@ -32,7 +32,7 @@
 ACCEPT_AT_ONCE, ACCEPT_AGAIN = 64, 0.05  # connections a turn; s until a full process tries again
 
 
-def inherited(descriptor: int) -> socket.socket:
+def adopt_listener(descriptor: int) -> socket.socket:
     """The listening socket that this process was started with; others may have it, too."""
     try:
         listener = socket.socket(fileno=descriptor)
@@ -230,7 +230,7 @@
     def _look_whether_able(self) -> None:
         if self.instance.state in (State.STARTING, State.SUCCEEDING):
             if all(front.has_workers for front in self.fronts) or self.loop.now - self._began >= ABLE_MOST:
-                return self.handle_event(Event.ABLE)
+                return self.handle_event(Event.WORKERS_KNOWN)
             self.loop.after(ABLE_EVERY, self._look_whether_able)
         return None
 
@@ -275,7 +275,7 @@
         )
         if after in (State.DRAINING, State.ENDING, State.LASTING):
             wait = lasts if after is State.LASTING else KEEP_ACCEPTING
-            self._settled.set(wait, lambda: self.handle_event(Event.SETTLED))
+            self._settled.set(wait, lambda: self.handle_event(Event.DRAIN_PROPAGATED))
         if event is Event.TERM:
             grace = max((front.grace for front in self.fronts), default=0.0)
             whole = grace + KILLED_AFTER - LAST_MOMENT
--- a/yewhook/service_level_admin.py
+++ b/yewhook/service_level_admin.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from .levels.governor import Governor
-    from .levels.ladder import Change
+    from .levels.level_state import Change
 
 LOOK_EVERY = 1.0  # s between looks at the process's memory
 PAGE = os.sysconf("SC_PAGE_SIZE")
--- a/yewhook/settings_file.py
+++ b/yewhook/settings_file.py
@@ -121,7 +121,7 @@
     tables = {Level.GUARDED: table.guarded, Level.THRIFTY: table.thrifty,
               Level.ESSENTIAL: table.essential, Level.LAST_RESORT: table.last_resort}  # fmt: skip
     defaults = LevelsSettings()
-    wanted = {Level.named(name) for name in table.use} if table.use is not None else set(tables)
+    wanted = {Level.from_label(name) for name in table.use} if table.use is not None else set(tables)
     levels = {level: one.over(defaults.levels[level]) for level, one in tables.items() if level in wanted}
     given: dict[str, Any] = {name: getattr(table, f"{name}_s") for name in TIMES}
     given |= {name: getattr(table, name) for name in FIGURES}
@@ -145,7 +145,7 @@
     if table is None:
         return None
     until = table.until if table.until.tzinfo is not None else table.until.replace(tzinfo=UTC)
-    return PinSetting(Level.named(table.level), until.timestamp(), table.reason)
+    return PinSetting(Level.from_label(table.level), until.timestamp(), table.reason)
 
 
 WHERE = re.compile(r"(.*?)(?: - at `\$\.?(.*)`)?", re.DOTALL)
--- a/yewhook/toolcalls/config.py
+++ b/yewhook/toolcalls/config.py
@@ -9,7 +9,7 @@
 
 from hopshed.interface import Settings
 
-from ..config import Address, ConfigError, Names, Table, address, read_toml, translate
+from ..config import Address, ConfigError, Names, TomlTable, parse_address, parse_settings, read_toml
 
 KEYS = {"listen", "records", "domain", "worker_service", "tool_service", "settings",
         "tool_deadline_s", "worker_silence_s", "connect_timeout_s", "idle_limit_s"}  # fmt: skip
@@ -31,10 +31,10 @@
 
 
 def read(path: Path) -> ToolCallsConfig:
-    table = Table.parse(path, read_toml(path), KEYS)
+    table = TomlTable.parse(path, read_toml(path), KEYS)
     settings, names = _settings(table.file("settings"))
     return ToolCallsConfig(
-        listen=address(table.text("listen"), f"{path}: listen"),
+        listen=parse_address(table.text("listen"), f"{path}: listen"),
         records=table.file("records"),
         domain=table.text("domain").rstrip(".") + ".",
         worker_service=table.text("worker_service"),
@@ -55,4 +55,4 @@
         raise ConfigError(f"{path}: {error}") from error
     if not isinstance(env, dict):
         raise ConfigError(f"{path}: expected an object")
-    return translate(env)
+    return parse_settings(env)
--- a/yewhook/toolcalls/workers.py
+++ b/yewhook/toolcalls/workers.py
@@ -8,10 +8,10 @@
 from .. import load_reports
 from ..config import Address
 from ..core.ending import Ending
-from ..front import PendingAttempts, Release
+from ..front import PendingAttempts, ReleaseFunction
 from ..jsonrpc import Code, Id, Peer, RequestTimedOut, RpcError
 from ..loop import Loop
-from ..releases import Done
+from ..releases import DoneCallback
 from ..worker_list import WorkerList
 from .endings import of_worker
 from .peers import PeerPool
@@ -169,7 +169,7 @@
         tools: Tools,
         columns: tuple[str, ...],
         worker_list: WorkerList,
-        release: Release,
+        release: ReleaseFunction,
         silence: float,
     ) -> None:
         super().__init__(loop, worker_list, release)
@@ -184,7 +184,7 @@
         self.begin(out, server, lambda address: out.begin(address, params, begins))
 
 
-def let_go(pool: PeerPool, address: Address, request_id: str, done: Done) -> Callable[[], None]:
+def let_go(pool: PeerPool, address: Address, request_id: str, done: DoneCallback) -> Callable[[], None]:
     """Ask a worker to let go of all that is held for a request."""
     peer = pool.acquire(address)
 
--- a/yewhook/worker_list.py
+++ b/yewhook/worker_list.py
@@ -8,7 +8,7 @@
 
 from hopshed import interface as i
 
-from .config import Address, ConfigError, Names, address
+from .config import Address, ConfigError, Names, parse_address
 from .log import Log
 from .start_times import MessageTimes, StartTimes
 
@@ -57,7 +57,7 @@
         for raw in message.get("instances") or []:
             try:
                 server = self.entry(raw, told)
-                place = address(raw["hostPort"], "hostPort") if raw.get("hostPort") else None
+                place = parse_address(raw["hostPort"], "hostPort") if raw.get("hostPort") else None
             except (KeyError, TypeError, ValueError, OverflowError, AttributeError, ConfigError) as error:
                 self.log("entry not understood", f"{type(error).__name__} {error} in {raw}")
                 continue
--- a/yewlab/host.py
+++ b/yewlab/host.py
@@ -8,7 +8,7 @@
 from hopshed import interface as i
 from yewhook.core.router import Router
 from yewhook.levels.governor import Governor
-from yewhook.levels.ladder import Change
+from yewhook.levels.level_state import Change
 from yewhook.levels.settings import LevelsSettings, Mode
 from yewhook.log import Log
 from yewhook.recovery.recovery import Recovery
--- a/yewlab/levels.py
+++ b/yewlab/levels.py
@@ -16,8 +16,8 @@
 
 from hopshed.interface import Role
 from yewhook.levels.governor import EVALUATION_INTERVAL_S
-from yewhook.levels.ladder import Ladder
 from yewhook.levels.level import Level, Signals
+from yewhook.levels.level_state import LevelStateMachine
 from yewhook.levels.settings import LevelsSettings, Mode
 
 from . import site
@@ -153,17 +153,18 @@
 
 
 def swing_signal(level: Level, name: str, seed: int, seconds: float) -> Swing:
-    """Swing one signal by itself round its threshold, as the ladder sees it; noise comes unsmoothed."""
+    """Swing one signal by itself round its threshold, as the level state machine sees it; noise comes
+    unsmoothed."""
     threshold = ON.levels[level].conditions[name].enter
     random = Random(f"signal {seed} {level.label} {name}")
     wave = _wave(random)
-    ladder = Ladder(ON, random.random(), 0.0)
+    level_state = LevelStateMachine(ON, random.random(), 0.0)
     changes, seen = 0, []
     for look in range(int(seconds / EVALUATION_INTERVAL_S)):
         now = look * EVALUATION_INTERVAL_S
         swung = max(0.0, wave(now) + random.gauss(0.0, NOISE))
         seen.append(swung)
-        changes += ladder.step(now, Signals(**{name: threshold * swung})) is not None
+        changes += level_state.step(now, Signals(**{name: threshold * swung})) is not None
     return Swing(f"{level.label}.{name}", changes, _crossings(seen), sum(seen) / len(seen))
 
 
@@ -198,7 +199,9 @@
         for second in range(0, int(seconds), 2):
             sim.at(
                 began + second,
-                lambda: samples.append((sim.now - began, governor.signals.load, int(governor.ladder.level))),
+                lambda: samples.append(
+                    (sim.now - began, governor.signals.load, int(governor.level_state.level))
+                ),
             )
     clients = run.clients(lambda now: FULL_RATE, end, phase)
     sim.run(end + AFTER)
--- a/yewlab/lists.py
+++ b/yewlab/lists.py
@@ -11,7 +11,7 @@
 
 from hopshed import interface as i
 from hopshed.control import Controller
-from yewhook.config import translate
+from yewhook.config import parse_settings
 from yewhook.log import Log
 from yewhook.worker_list import WorkerList
 
@@ -31,7 +31,7 @@
 def measure(sizes: tuple[int, ...], routers: int = 40) -> Iterator[Stop]:
     """Lists of these lengths, at one of so many routers."""
     raw = json.loads((Path(__file__).parents[1] / "deploy" / "settings.json").read_text())
-    settings, names = translate(raw | {"instances": routers})
+    settings, names = parse_settings(raw | {"instances": routers})
     for size in sizes:
         worker_list, module = WorkerList(names, 0.0, Log("lab")), Controller(settings, 1)
         entries = [
--- a/yewlab/processes/agent.py
+++ b/yewlab/processes/agent.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from yewhook.jsonrpc import Handler, Id, Peer, RpcError
+from yewhook.jsonrpc import Id, Peer, PeerHandler, RpcError
 
 from .host import ROOT, free_address
 from .net import HOST
@@ -27,7 +27,7 @@
 )
 
 
-class AgentSide(Handler):
+class AgentSide(PeerHandler):
     """Writes the fleet file for a stage's instances, runs the agent, and asks it."""
 
     def __init__(
--- a/yewlab/processes/stage.py
+++ b/yewlab/processes/stage.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from hopshed.interface import Role
-from yewhook.config import translate
+from yewhook.config import parse_settings
 from yewhook.log import Log
 from yewhook.loop import Loop
 from yewlab import site
@@ -62,7 +62,7 @@
         env["contract"] |= contract or {}
         env["extra"] |= extra or {}
         env["customers"] = [one | {"quota-per-s": QUOTA} for one in env["customers"]]
-        settings, names = translate(env)
+        settings, names = parse_settings(env)
         traffic = (replace(one, answer=ANSWER) for one in site.TRAFFIC)
         lanes = dict(zip(names.classes, traffic, strict=True))
         self.rules = Rules(settings, SETTLES)
