--- a/tests/levels/test_at_a_router.py
+++ b/tests/levels/test_at_a_router.py
@@ -15,12 +15,12 @@
 from yewhook.core.router import Router
 from yewhook.front import RouterFront
 from yewhook.levels.level import Level
-from yewhook.levels.settings import LevelsSettings, Mode
+from yewhook.levels.settings import Mode, ServiceLevelSettings
 from yewhook.log import Log, LogFormat
 from yewhook.service_level_admin import ServiceLevelAdmin
 from yewhook.service_settings import ServiceSettings
 
-QUICK = LevelsSettings(mode=Mode.ON, confirm=0.5, least_stay=1.0, leave_after=2.0, leave_spread=0.0)
+QUICK = ServiceLevelSettings(mode=Mode.ON, confirm=0.5, least_stay=1.0, leave_after=2.0, leave_spread=0.0)
 
 
 class Overseen(Platform):
--- a/tests/levels/test_in_the_lab.py
+++ b/tests/levels/test_in_the_lab.py
@@ -13,7 +13,7 @@
 
 from hopshed.interface import Role
 from yewhook.levels.level import Level
-from yewhook.levels.settings import LevelsSettings, Mode
+from yewhook.levels.settings import Mode, ServiceLevelSettings
 from yewlab import site
 from yewlab.hardcases import rolling_deploy
 from yewlab.levels import LEFT, OFF, ON, Result, Run, Swing, experiment, fall
@@ -148,7 +148,7 @@
 
 
 def test_watching_changes_nothing_but_tells() -> None:
-    watch = LevelsSettings(mode=Mode.WATCH)
+    watch = ServiceLevelSettings(mode=Mode.WATCH)
     runs = {name: Run("watch", s, FLEET, quota=30.0) for name, s in (("watch", watch), ("off", OFF))}
     tallies = {name: play(run, lambda now: 16.0, 60.0).tally for name, run in runs.items()}
     assert tallies["watch"] == tallies["off"]
--- a/tests/levels/test_level_state.py
+++ b/tests/levels/test_level_state.py
@@ -10,16 +10,16 @@
 
 from yewhook.levels.level import SIGNALS, Level, Signals
 from yewhook.levels.level_state import Change, LevelStateMachine, Pin
-from yewhook.levels.settings import LevelSettings, LevelsSettings, Mode, Threshold
+from yewhook.levels.settings import LevelSettings, Mode, ServiceLevelSettings, Threshold
 
-S = LevelsSettings(mode=Mode.ON, leave_spread=0.0)
+S = ServiceLevelSettings(mode=Mode.ON, leave_spread=0.0)
 LOOK = 0.25
 
 
 class Walk:
     """A level state machine that is shown signals look by look."""
 
-    def __init__(self, settings: LevelsSettings = S, spread: float = 0.0) -> None:
+    def __init__(self, settings: ServiceLevelSettings = S, spread: float = 0.0) -> None:
         self.level_state, self.now = LevelStateMachine(settings, spread, 0.0), 0.0
         self.changes: list[Change] = []
 
@@ -180,4 +180,4 @@
 )
 def test_settings_that_make_no_sense_are_refused(settings: dict[str, object], complaint: str) -> None:
     with pytest.raises(ValueError, match=complaint):
-        LevelsSettings(**settings)  # type: ignore[arg-type]
+        ServiceLevelSettings(**settings)  # type: ignore[arg-type]
--- a/tests/levels/test_settings_file.py
+++ b/tests/levels/test_settings_file.py
@@ -10,7 +10,7 @@
 from yewhook.cli import app
 from yewhook.config import ConfigError
 from yewhook.levels.level import Level
-from yewhook.levels.settings import LevelsSettings, Mode, Threshold
+from yewhook.levels.settings import Mode, ServiceLevelSettings, Threshold
 from yewhook.log import LogFormat
 from yewhook.settings_file import read
 
@@ -25,7 +25,7 @@
 
 def test_the_deployed_file_says_what_holds_without_one() -> None:
     settings = read(DEPLOYED)
-    assert settings.levels == LevelsSettings(mode=Mode.ON)
+    assert settings.levels == ServiceLevelSettings(mode=Mode.ON)
     assert settings.log is LogFormat.CONSOLE and settings.pin is None
 
 
@@ -36,7 +36,7 @@
     assert levels.mode is Mode.WATCH and levels.confirm == 1.0
     assert levels.known == (Level.FULL, Level.GUARDED, Level.ESSENTIAL)
     assert levels.levels[Level.GUARDED].conditions == {"load": Threshold(0.9, 0.7)}
-    assert levels.levels[Level.ESSENTIAL] == LevelsSettings().levels[Level.ESSENTIAL]
+    assert levels.levels[Level.ESSENTIAL] == ServiceLevelSettings().levels[Level.ESSENTIAL]
 
 
 def test_a_pin_in_the_file_has_an_end_and_a_reason(tmp_path: Path) -> None:
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -13,7 +13,7 @@
 from hopshed import interface as i
 from hopshed.interface import ListKind, Outcome, Role, RoleUsage, ServerState
 from yewhook.levels.governor import Governor
-from yewhook.levels.settings import LevelsSettings, Mode
+from yewhook.levels.settings import Mode, ServiceLevelSettings
 from yewhook.recovery.peer_messages import PeerMessage, Seen
 from yewhook.recovery.phases import Phase
 from yewhook.recovery.recovery import MISSED_FOR, PreviousRun, Recovery, UsualTraffic
@@ -147,7 +147,7 @@
 def test_the_governor_asks_the_recovery_and_holds_the_levels_meanwhile() -> None:
     play = Play(past(*ALL))
     governor = Governor(
-        MODULE, LevelsSettings(mode=Mode.ON), 1, 100.0, recovery=play.recovery
+        MODULE, ServiceLevelSettings(mode=Mode.ON), 1, 100.0, recovery=play.recovery
     )  # fmt: skip
     merged = play.recovery.merge_list(
         ListKind.FULL, tuple(server(n, started=97.0) for n in range(6)), 41, 100.0
--- a/yewhook/commands/levels.py
+++ b/yewhook/commands/levels.py
@@ -12,7 +12,7 @@
 
 from ..config import ConfigError
 from ..levels.level import LEVEL_DESCRIPTIONS, Level
-from ..levels.settings import LevelsSettings
+from ..levels.settings import ServiceLevelSettings
 from .common import DEFAULT_AGENT_ADDRESS, AgentOption, ask_agent, read_settings, usage_error
 
 levels = typer.Typer(no_args_is_help=True, help="Levels of reduced service.")
@@ -36,7 +36,7 @@
     return f"{front}={told['level']}{watched} for {told['since_s']:.0f} s{pin}"
 
 
-def table(settings: LevelsSettings) -> Iterator[str]:
+def table(settings: ServiceLevelSettings) -> Iterator[str]:
     """The levels with their conditions, a line each."""
     yield f"levels are {settings.mode.value}"
     for level in settings.known:
--- a/yewhook/config.py
+++ b/yewhook/config.py
@@ -56,7 +56,7 @@
     known_workers: dict[str, Any]  # the list of workers as last held, in discovery's form
     peer_listen: Address | None = None  # where messages of other routers arrive
     peers: tuple[Address, ...] = ()  # whence each router's messages come, in the order of their numbers
-    peers_all: Address | None = None  # where a message goes that is for all of them
+    peer_broadcast: Address | None = None  # where a message goes that is for all of them
     mgmt: Address | None = None  # where operators call
     accept_fd: int | None = None  # the clients' listening socket, where the platform holds it
 
@@ -185,7 +185,7 @@
             known_workers=raw.get("known") or {},
             peer_listen=parse_address(raw["peer_listen"], "peer_listen") if raw.get("peer_listen") else None,
             peers=tuple(parse_address(peer, "peers") for peer in raw.get("peers") or ()),
-            peers_all=parse_address(raw["peers_all"], "peers_all") if raw.get("peers_all") else None,
+            peer_broadcast=parse_address(raw["peers_all"], "peers_all") if raw.get("peers_all") else None,
             mgmt=parse_address(mgmt, "PROXY_MGMT") if mgmt else None,
             accept_fd=_descriptor(accept_fd) if accept_fd else None,
         )
--- a/yewhook/core/router.py
+++ b/yewhook/core/router.py
@@ -156,9 +156,9 @@
         """Let the module know what an earlier process learnt."""
         merge_state(self._module, known)
 
-    def resume(self, told_off: dict[int, float], known: LearnedState) -> None:
+    def resume(self, withdrawn_since: dict[int, float], known: LearnedState) -> None:
         """Go on from a predecessor's knowledge, once the list has been heard. Raises ValueError."""
-        self.table.resume(told_off)
+        self.table.resume(withdrawn_since)
         self.turn(self._clock())
         import_state(self._module, known, self._clock())
 
--- a/yewhook/core/server_table.py
+++ b/yewhook/core/server_table.py
@@ -37,7 +37,7 @@
         if kind is not ListKind.CHANGES:
             missing = (server for number, server in self.servers.items() if number not in named)
             named |= {server.id: server._replace(state=ServerState.GONE) for server in missing}
-        told_off, gone = set[int](), list[int]()
+        withdrawn, gone = set[int](), list[int]()
         for number, server in named.items():
             before = self.servers.get(number)
             self.servers[number] = server
@@ -47,13 +47,13 @@
                 self.withdrawn_since.pop(number, None)
             elif number not in self.withdrawn_since:
                 self.withdrawn_since[number] = now
-                told_off.add(number)
-        return Changes(frozenset(told_off), tuple(gone))
+                withdrawn.add(number)
+        return Changes(frozenset(withdrawn), tuple(gone))
 
-    def resume(self, told_off: Mapping[int, float]) -> None:
+    def resume(self, since: Mapping[int, float]) -> None:
         """Take over since when servers that are told off here, too, have been so at a predecessor."""
         self.withdrawn_since.update(
-            (number, at) for number, at in told_off.items() if number in self.withdrawn_since
+            (number, at) for number, at in since.items() if number in self.withdrawn_since
         )
 
     def forget(self, number: int, now: float) -> bool:
--- a/yewhook/front.py
+++ b/yewhook/front.py
@@ -15,7 +15,7 @@
 from .core.release_call import Candidate, Ranking
 from .core.router import Router
 from .levels.level import ProcessHealth
-from .levels.settings import LevelsSettings, Mode
+from .levels.settings import Mode, ServiceLevelSettings
 from .liveness import Liveness
 from .loop import Loop, Timer
 from .operations.instance import FrontMode
@@ -266,7 +266,10 @@
         return self._governor if self._governor is self.router.governor else None
 
     def set_levels(
-        self, settings: LevelsSettings, vitals: Callable[[], ProcessHealth], changed: Callable[[Change], None]
+        self,
+        settings: ServiceLevelSettings,
+        vitals: Callable[[], ProcessHealth],
+        changed: Callable[[Change], None],
     ) -> None:
         """Put settings of the levels of service in force, at the start or while it runs."""
         levels = self.levels
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -18,7 +18,7 @@
 from .estimators import DecayingRate, DecayingRatio, Mean, Quantiles
 from .level import LEVEL_DESCRIPTIONS, Level, ProcessHealth, Signals
 from .level_state import PAUSE, Change, LevelStateMachine, Pin
-from .settings import LevelsSettings, Mode
+from .settings import Mode, ServiceLevelSettings
 from .turns import RefusalLoss, Turn, TurnKind, Turns, top_classes
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
     def __init__(
         self,
         settings: i.Settings,
-        levels: LevelsSettings,
+        levels: ServiceLevelSettings,
         seed: int,
         now: float,
         vitals: Callable[[], ProcessHealth] = ProcessHealth,
@@ -276,7 +276,7 @@
     def unpin(self) -> None:
         self.level_state.set_pin(None)
 
-    def configure(self, levels: LevelsSettings, now: float) -> None:
+    def configure(self, levels: ServiceLevelSettings, now: float) -> None:
         """Put other settings in force; a level that they don't know is left at once."""
         self.levels = levels
         self._turns.long_turn = levels.long_turn
--- a/yewhook/levels/level_state.py
+++ b/yewhook/levels/level_state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from .level import Level, Signals
-from .settings import LevelsSettings
+from .settings import ServiceLevelSettings
 
 PAUSE = 3.0  # s between two looks after which the process must have stood still
 
@@ -33,7 +33,7 @@
 class LevelStateMachine:
     """The state between looks. `spread` in 0 to 1 is drawn by the router's seed."""
 
-    def __init__(self, settings: LevelsSettings, spread: float, now: float) -> None:
+    def __init__(self, settings: ServiceLevelSettings, spread: float, now: float) -> None:
         self.settings, self._spread = settings, spread
         self.level, self.since = Level.FULL, now
         self.pin: Pin | None = None
@@ -125,7 +125,7 @@
             return Change(self.level, self.level, "pin ended", 0.0, 0.0, now - self.since)
         return self._to(level, now, "pinned", pin.until - now, 0.0) if level is not self.level else None
 
-    def configure(self, settings: LevelsSettings, now: float) -> Change | None:
+    def configure(self, settings: ServiceLevelSettings, now: float) -> Change | None:
         """Go on by other settings; a level that they don't have becomes the next better one that they
         have."""
         self.settings, self._over = settings, {}
--- a/yewhook/levels/settings.py
+++ b/yewhook/levels/settings.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LevelsSettings:
+class ServiceLevelSettings:
     """All about levels. Raises ValueError with the key, the value and what was expected."""
 
     mode: Mode = Mode.OFF
--- a/yewhook/platform/front.py
+++ b/yewhook/platform/front.py
@@ -67,9 +67,9 @@
         self._resumed, self._began = handed is not None, loop.now
         generation = self._resume(handed) if handed is not None else self._begin()
         self.peers: Peers | None = None
-        if config.settings.may_tell and config.peer_listen and config.peers_all:
+        if config.settings.may_tell and config.peer_listen and config.peer_broadcast:
             self.peers = Peers(
-                loop, config.peer_listen, config.peers, config.peers_all, self._peer_said, succeeds
+                loop, config.peer_listen, config.peers, config.peer_broadcast, self._peer_said, succeeds
             )
             self.router.tell = self.peers.tell
         self.clients = ClientFront(loop, self.router, config.names, room.body_bytes)
--- a/yewhook/service.py
+++ b/yewhook/service.py
@@ -85,11 +85,11 @@
         loop: Loop,
         listener: socket.socket,
         room: Callable[[], bool],
-        make_room: Callable[[], None],
+        free_connections: Callable[[], None],
         accepted: Callable[[socket.socket], None],
     ) -> None:
         self._loop, self._listener = loop, listener
-        self._room, self._make_room, self._accepted = room, make_room, accepted
+        self._room, self._free_connections, self._accepted = room, free_connections, accepted
         self._again = Timer(loop)
         self._paused = self._closed = False
         # Since when connections may wait in the kernel's queue, and whether some were left there.
@@ -112,7 +112,7 @@
         """Take what waits, so many at a time; whether there may be more."""
         for _ in range(ACCEPT_AT_ONCE):
             if not self._room():
-                self._make_room()
+                self._free_connections()
                 if not self._room():
                     self._loop.log("too many sockets", f"{self._loop.sockets} open, accepting later")
                     return self._later()
--- a/yewhook/service_settings.py
+++ b/yewhook/service_settings.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from .levels.level import Level
-from .levels.settings import LevelsSettings
+from .levels.settings import ServiceLevelSettings
 from .log import LogFormat
 
 if TYPE_CHECKING:
@@ -25,6 +25,6 @@
     """The defaults are what holds without a file."""
 
     log: LogFormat = LogFormat.CONSOLE
-    levels: LevelsSettings = field(default_factory=LevelsSettings)
+    levels: ServiceLevelSettings = field(default_factory=ServiceLevelSettings)
     pin: PinSetting | None = None
     recovery: RecoverySettings | None = None  # None = off
--- a/yewhook/settings_file.py
+++ b/yewhook/settings_file.py
@@ -13,7 +13,7 @@
 
 from .config import ConfigError, read_toml
 from .levels.level import SIGNALS, Level
-from .levels.settings import LevelSettings, LevelsSettings, Mode, Threshold
+from .levels.settings import LevelSettings, Mode, ServiceLevelSettings, Threshold
 from .log import LogFormat
 from .service_settings import PinSetting, ServiceSettings
 
@@ -117,10 +117,10 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _levels(table: LevelsTable) -> LevelsSettings:
+def _levels(table: LevelsTable) -> ServiceLevelSettings:
     tables = {Level.GUARDED: table.guarded, Level.THRIFTY: table.thrifty,
               Level.ESSENTIAL: table.essential, Level.LAST_RESORT: table.last_resort}  # fmt: skip
-    defaults = LevelsSettings()
+    defaults = ServiceLevelSettings()
     wanted = {Level.from_label(name) for name in table.use} if table.use is not None else set(tables)
     levels = {level: one.over(defaults.levels[level]) for level, one in tables.items() if level in wanted}
     given: dict[str, Any] = {name: getattr(table, f"{name}_s") for name in TIMES}
--- a/yewlab/hardcases.py
+++ b/yewlab/hardcases.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from hopshed.interface import Role
-from yewhook.levels.settings import LevelsSettings
+from yewhook.levels.settings import ServiceLevelSettings
 
 from . import site
 from .levels import AFTER, OFF, ON, Run, processes
@@ -27,7 +27,7 @@
     broken: tuple[str, ...]
 
 
-def rolling_deploy(levels: LevelsSettings, seed: int) -> Outcome:
+def rolling_deploy(levels: ServiceLevelSettings, seed: int) -> Outcome:
     """A third of the boxes fall silent during a rolling deploy, while the register is 10 s late."""
     run = Run(f"rolling{seed}", levels, FLEET, quota=12.0)
     fleet, began = run.fleet, run.sim.now
@@ -42,7 +42,7 @@
     return _serve(run, DEPLOY_RATE, DEPLOY_LASTS)
 
 
-def overload(rate: float, levels: LevelsSettings, seed: int) -> Outcome:
+def overload(rate: float, levels: ServiceLevelSettings, seed: int) -> Outcome:
     """Far more than can be done, from the first second on; nothing is beyond a share."""
     return _serve(Run(f"lr{seed}", levels, FLEET, quota=100.0), rate, OVERLOAD_LASTS)
 
@@ -56,7 +56,7 @@
     return Outcome(tally.worth, lookup, log, len(run.hosted.changes), run.broken)
 
 
-CASES: dict[str, Callable[[LevelsSettings, int], Outcome]] = {
+CASES: dict[str, Callable[[ServiceLevelSettings, int], Outcome]] = {
     "a third silent in a rolling deploy, register 10 s late": rolling_deploy,
     **{f"{rate / CAN:.1f} times what can be done": partial(overload, rate) for rate in OVERLOADS},
 }
--- a/yewlab/host.py
+++ b/yewlab/host.py
@@ -9,7 +9,7 @@
 from yewhook.core.router import Router
 from yewhook.levels.governor import Governor
 from yewhook.levels.level_state import Change
-from yewhook.levels.settings import LevelsSettings, Mode
+from yewhook.levels.settings import Mode, ServiceLevelSettings
 from yewhook.log import Log
 from yewhook.recovery.recovery import Recovery
 from yewhook.recovery.settings import RecoverySettings
@@ -52,7 +52,7 @@
     sim: Simulation,
     fleet: Fleet,
     settings: i.Settings,
-    levels: LevelsSettings,
+    levels: ServiceLevelSettings,
     seed: int,
     number: int = 0,
     recovery: RecoverySettings | None = None,
--- a/yewlab/levels.py
+++ b/yewlab/levels.py
@@ -18,7 +18,7 @@
 from yewhook.levels.governor import EVALUATION_INTERVAL_S
 from yewhook.levels.level import Level, Signals
 from yewhook.levels.level_state import LevelStateMachine
-from yewhook.levels.settings import LevelsSettings, Mode
+from yewhook.levels.settings import Mode, ServiceLevelSettings
 
 from . import site
 from .fleet import Fleet
@@ -27,8 +27,8 @@
 from .simulation import Simulation
 from .workload import Clients, Tally
 
-ON = LevelsSettings(mode=Mode.ON)
-OFF = LevelsSettings(mode=Mode.OFF)
+ON = ServiceLevelSettings(mode=Mode.ON)
+OFF = ServiceLevelSettings(mode=Mode.OFF)
 CHANGES_MOST = 4  # at each threshold, in ten minutes
 GAIN_LEAST = 0.10  # of the top class, where capacity falls
 SWING, NOISE = 0.12, 0.15  # part of the threshold, and of the rate
@@ -76,7 +76,7 @@
     """A fleet, one router and its clients on virtual time."""
 
     seed: str
-    levels: LevelsSettings
+    levels: ServiceLevelSettings
     servers: dict[Role, int]
     quota: float
     sim: Simulation = field(init=False)
@@ -178,7 +178,7 @@
     return sum((a < 1.0) != (b < 1.0) for a, b in pairwise(ratios))
 
 
-def fall(levels: LevelsSettings, seed: int, seconds: float) -> Fall:
+def fall(levels: ServiceLevelSettings, seed: int, seconds: float) -> Fall:
     """The fleet loses two fifths of each role after a fifth of the time, and gets them back cold near the
     end."""
     run = Run(f"fall {seed}", levels, FALLING, quota=FULL_RATE * 1.3)
--- a/yewlab/mass.py
+++ b/yewlab/mass.py
@@ -15,7 +15,7 @@
 
 from hopshed.interface import Role
 from yewhook.core.router import Router
-from yewhook.levels.settings import LevelsSettings
+from yewhook.levels.settings import ServiceLevelSettings
 from yewhook.recovery.settings import RecoverySettings
 
 from . import site
@@ -110,7 +110,7 @@
     lags: dict[int, float] = field(default_factory=dict)  # router -> s by which it hears later
     deaf: bool = False  # no router hears another one
     clients: Clients = field(init=False)
-    levels: LevelsSettings = OFF
+    levels: ServiceLevelSettings = OFF
     recovery: RecoverySettings | None = None
 
     def __post_init__(self) -> None:
