--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Daily operation: the state of an instance, the operators' door, drains that hold."""
+"""Daily operation: the state of an instance, the management endpoint, drains that hold."""
 
 from __future__ import annotations
 
--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -36,9 +36,8 @@
         self.pollers: list[Callable[[], None]] = []  # what is looked at in each turn and wakes nobody
         self.deciders: list[Turn] = []
         self.stopped = False
-        self.now = self.previous_poll_at = (
-            clock()
-        )  # of this turn's look at the files, and of the one before it
+        # Times of this turn's look at the files, and of the one before it
+        self.now = self.previous_poll_at = clock()
         self.sockets = 0  # open ones that this process holds, as their owners count them
         self.accepted = 0  # those of them that others have opened
         self.finishing = 0  # those of them whose last bytes are still on their way
--- a/yewhook/operations/__init__.py
+++ b/yewhook/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Day-to-day operation: the state of an instance, the operators' door, and the line of its processes."""
+"""Day-to-day operation: the state of an instance, the management endpoint, and the hot restart."""
--- a/yewhook/operations/hot_restart.py
+++ b/yewhook/operations/hot_restart.py
@@ -1,4 +1,4 @@
-"""A process among others of its instance: it takes over from the one before, and gives way to the next."""
+"""Hot restart: a process takes over from the one before it in its instance, and gives way to the next."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class HotRestart:
-    def __init__(self, service: Service, line: ProcessFiles) -> None:
-        self._service, self._loop, self._line = service, service.loop, line
-        self.has_predecessor = line.predecessor() is not None
+    def __init__(self, service: Service, files: ProcessFiles) -> None:
+        self._service, self._loop, self._files = service, service.loop, files
+        self.has_predecessor = files.predecessor() is not None
         self._neighbours = Neighbours(self.has_predecessor)
         self._renewed = -RENEW
         service.instance = Instance(State.SUCCEEDING if self.has_predecessor else State.STARTING)
 
     def await_handover(self) -> HandOver | None:
-        """What the predecessor knows, where it says so in time; the door is answered meanwhile."""
+        """What the predecessor knows, where it says so in time; the management endpoint answers meanwhile."""
         end = time.monotonic() + HAND_OVER_WAIT
         while self.has_predecessor and time.monotonic() < end and not self._loop.stopped:
-            if (data := self._line.handed()) is not None:
+            if (data := self._files.handed()) is not None:
                 return self._read(data)
             self._loop.after(WAIT_TURN, lambda: None)
             self._loop.run_turn()
@@ -49,9 +49,10 @@
             self._service.handle_event(Event.DRAIN)
         return handed
 
-    def monitor(self, knowledge: Callable[[bool], HandOver], room: ResourceBudget) -> None:
-        """Look at the line from now on; `knowledge` makes what a successor gets, told if this is drained."""
-        self._knowledge, self._room = knowledge, room
+    def monitor(self, handover_state: Callable[[bool], HandOver], room: ResourceBudget) -> None:
+        """Watch the other processes from now on; `handover_state` makes what a successor gets, told if this
+        is drained."""
+        self._handover_state, self._room = handover_state, room
         self._look()
 
     def _look(self) -> None:
@@ -64,23 +65,23 @@
         self._loop.after(LOOK_EVERY, self._look)
 
     def _see(self) -> None:
-        later = self._line.successors()
-        ages = [age for age in map(self._line.ready_age, later) if age is not None]
-        sight = NeighbourStatus(self._line.predecessor(), next(iter(later), None), min(ages, default=None))
-        self._room.set_shared(sight.predecessor is not None or sight.successor is not None)
-        for event in self._neighbours.see(sight):
+        later = self._files.successors()
+        ages = [age for age in map(self._files.ready_age, later) if age is not None]
+        status = NeighbourStatus(self._files.predecessor(), next(iter(later), None), min(ages, default=None))
+        self._room.set_shared(status.predecessor is not None or status.successor is not None)
+        for event in self._neighbours.see(status):
             self._service.handle_event(event)
-        if (number := self._neighbours.to_hand(sight)) is not None:
-            self._line.hand(number, pack(self._knowledge(self._service.instance.drained)))
+        if (number := self._neighbours.to_hand(status)) is not None:
+            self._files.hand(number, pack(self._handover_state(self._service.instance.drained)))
             self._loop.log("handed over", f"to process {number} of this instance")
         accepts = self._service.instance.serves and self._service.instance.front_mode.accepting
-        if accepts and sight.predecessor is not None and self._loop.now - self._renewed >= RENEW:
+        if accepts and status.predecessor is not None and self._loop.now - self._renewed >= RENEW:
             self._renewed = self._loop.now
-            self._line.mark_ready()
+            self._files.mark_ready()
 
 
 def join_instance(service: Service, environ: Mapping[str, str], name: str) -> HotRestart | None:
-    """This process's place in the line of its instance; None where there is no folder to stand in line in."""
+    """Register this process among those of its instance; None where there is no folder for its files."""
     folder = Path(environ.get("TMPDIR") or "/tmp") / f"yewhook-{name.replace(os.sep, '_')}"
     try:
         return HotRestart(service, ProcessFiles(folder))
--- a/yewhook/operations/management_endpoint.py
+++ b/yewhook/operations/management_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door: a second address that speaks HTTP/1.1, one call a connection.
+"""The management endpoint: a second address, for operators, that speaks HTTP/1.1, one call a connection.
 
 Its answers are owed within 1 s under any load, so its sockets come first in each turn of the loop, and the
 clients' room is reckoned without the descriptors that it may use.
@@ -20,9 +20,7 @@
 from .instance import Event
 
 MAX_CONNECTIONS = 24  # connections at once; beyond them the oldest one gives way
-RESERVED_DESCRIPTORS = (
-    MAX_CONNECTIONS + 2
-)  # descriptors kept for it: callers, listener, and one being accepted
+RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 2  # kept for it: callers, listener, and one being accepted
 HEAD_MOST, BODY_MOST = 4096, 1024  # bytes of one call
 ARRIVE = 5.0  # s for a call to arrive whole
 ACCEPT_AT_ONCE = 8  # a turn; who connects in crowds is not to push a caller out before its call is read
@@ -37,14 +35,14 @@
 class Caller:
     """One connection, and the one call on it."""
 
-    def __init__(self, door: ManagementEndpoint, sock: socket.socket) -> None:
-        self._door = door
+    def __init__(self, endpoint: ManagementEndpoint, sock: socket.socket) -> None:
+        self._endpoint = endpoint
         self._size = self._body = 0
         self._target = b""
         self._answered = False
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.channel = Channel(door.loop, sock, self, first=True)
-        self._timer = Timer(door.loop)
+        self.channel = Channel(endpoint.loop, sock, self, first=True)
+        self._timer = Timer(endpoint.loop)
         self._timer.set(ARRIVE, self._late)
 
     def received(self, data: bytes) -> None:
@@ -75,7 +73,7 @@
     def on_message_complete(self) -> None:
         if self._parser is not None and not self._answered:
             path = self._target.partition(b"?")[0].decode("latin-1")
-            self._answer(*self._door.answer(self._parser.get_method().decode("latin-1"), path))
+            self._answer(*self._endpoint.answer(self._parser.get_method().decode("latin-1"), path))
 
     def _late(self) -> None:
         self._answer(408, "the call took too long to arrive")
--- a/yewhook/operations/process_files.py
+++ b/yewhook/operations/process_files.py
@@ -1,4 +1,4 @@
-"""The line of an instance's processes, as files in the folder that they share.
+"""The processes of an instance, in the order of their starts, as files in the folder that they share.
 
 `N.process` is locked by its process for as long as that lives, whatever ends it: a lock that can be had is a
 process that is gone. `N.ready`, renewed now and then, says that process N accepts clients. `N.handover` is
--- a/yewhook/platform/front.py
+++ b/yewhook/platform/front.py
@@ -26,9 +26,8 @@
     from ..operations.handover_encoding import HandOver
     from ..recovery.snapshot_store import SnapshotStore
 
-RECOVERY_MESSAGE_MARK = (
-    b"P"  # with which other routers' words for the recovery begin; the module's begin with others
-)
+# First byte of the messages between routers that belong to the recovery; the module's begin with others
+RECOVERY_MESSAGE_MARK = b"P"
 # Servers from which on connections to those that have gone are not looked for at each message, and the s for
 # each of them between looks: some 100 times what one costs.
 MANY_SERVERS, CLOSE_UNUSED_EVERY = 400, 5e-5
