--- a/tests/levels/test_in_the_lab.py
+++ b/tests/levels/test_in_the_lab.py
@@ -13,7 +13,7 @@
 
 from hopshed.interface import Role
 from yewhook.levels.level import Level
-from yewhook.levels.settings import LevelsSettings, Mode
+from yewhook.levels.settings import Mode, ServiceLevelSettings
 from yewlab import site
 from yewlab.hardcases import rolling_deploy
 from yewlab.levels import LEFT, OFF, ON, Result, Run, Swing, experiment, fall
@@ -87,8 +87,8 @@
     governor = run.hosted.governor
     assert governor is not None
     script: list[tuple[float, Callable[[], object]]] = [
-        (30.0, lambda: seen.append(governor.ladder.level)),
-        (58.0, lambda: seen.append(governor.ladder.level)),
+        (30.0, lambda: seen.append(governor.level_state.level)),
+        (58.0, lambda: seen.append(governor.level_state.level)),
     ]
     for box in run.fleet.of(role):
         script += [(20.0, partial(run.fleet.drain, box, 1.0)), (60.0, partial(run.fleet.back, box))]
@@ -148,7 +148,7 @@
 
 
 def test_watching_changes_nothing_but_tells() -> None:
-    watch = LevelsSettings(mode=Mode.WATCH)
+    watch = ServiceLevelSettings(mode=Mode.WATCH)
     runs = {name: Run("watch", s, FLEET, quota=30.0) for name, s in (("watch", watch), ("off", OFF))}
     tallies = {name: play(run, lambda now: 16.0, 60.0).tally for name, run in runs.items()}
     assert tallies["watch"] == tallies["off"]
@@ -161,7 +161,7 @@
         run = Run(f"together {seed}", ON, FLEET, quota=20.0)
         governor = run.hosted.governor
         assert governor is not None
-        left.add(round(governor.ladder.wait(Level.GUARDED), 1))
+        left.add(round(governor.level_state.wait(Level.GUARDED), 1))
     assert len(left) == 6 and min(left) >= ON.leave_after
 
 
@@ -192,7 +192,7 @@
 
 def test_the_lab_is_never_imported_by_a_router() -> None:
     code = (
-        "import sys, yewhook.cli, yewhook.platform.front, yewhook.oversight; "
+        "import sys, yewhook.cli, yewhook.platform.front, yewhook.service_level_admin; "
         "print([m for m in sys.modules if m.partition('.')[0] in "
         "('yewlab', 'numpy', 'scipy', 'matplotlib', 'msgspec', 'dns', 'pythonjsonlogger', 'rich', 'jinja2') "
         "or m == 'yewhook.levels.governor'])"
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from scenario import KeptLog
+from scenario import RecordingLog
 from settings import ENV
 from typer.testing import CliRunner
 
@@ -55,7 +55,7 @@
     """An agent whose loop is turned by the test's own thread or, for the blocking calls, beside it."""
 
     def __init__(self, folder: Path, count: int = 2) -> None:
-        self.log, self.count = KeptLog(), count
+        self.log, self.count = RecordingLog(), count
         self.service = Service(self.log)
         self.fleet = read(self.write(folder))
         path = folder / "fleet.toml"
@@ -68,7 +68,7 @@
         return write_fleet(folder, self.count)
 
     def sigterm(self) -> None:
-        self.service.hear(Event.TERM)
+        self.service.handle_event(Event.TERM)
 
     def until(self, true: Callable[[], bool]) -> None:
         end = time.monotonic() + PATIENCE
@@ -91,7 +91,7 @@
 def running(tmp_path: Path) -> Iterator[Running]:
     run = Running(tmp_path)
     yield run
-    run.agent.break_off()
+    run.agent.end_all()
     run.agent.close()
 
 
@@ -184,7 +184,7 @@
     line.close()
     assert told == [False] and line.closed
     line.tell("levels/unpin", {}, told.append)
-    line.inherited()
+    line.close_router_end()
     assert told == [False, False]
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -5,11 +5,11 @@
 import socket
 
 import pytest
-from scenario import Clock, KeptLog
+from scenario import Clock, RecordingLog
 from test_platform import Platform, answer, begin, chunk
 
 from hopshed.interface import Load
-from yewhook import reports
+from yewhook import load_reports
 from yewhook.core.ending import Ending
 from yewhook.loop import Loop
 from yewhook.platform.workers import WorkerConnection, WorkerPool
@@ -17,7 +17,7 @@
 
 def fed(*parts: bytes) -> tuple[list[int], list[str], bool]:
     """What an exchange hears of an answer in these reads: its statuses, its end, and if it is kept."""
-    loop = Loop(KeptLog(), Clock())
+    loop = Loop(RecordingLog(), Clock())
     pool = WorkerPool(loop, lambda: True, 0.25, 30.0)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         connection = WorkerConnection(pool, listener.getsockname())
@@ -120,12 +120,14 @@
 )  # fmt: skip
 def test_a_report_that_cannot_be_read_is_only_missing(text: str) -> None:
     # Depth and infinities were exceptions, or figures that spoilt every average they entered.
-    assert reports.load(reports.parse(text), ("avg_ms", "x0", "x1")) is None
-    assert reports.count(reports.parse(text)) == 0
+    assert load_reports.parse_load(load_reports.parse_json(text), ("avg_ms", "x0", "x1")) is None
+    assert load_reports.token_count(load_reports.parse_json(text)) == 0
 
 
 def test_a_report_is_found_under_either_name() -> None:
-    load = reports.load(reports.parse('{"latency_ms":500,"x0":0.5}'), ("avg_ms", "x0", "x1"))
+    load = load_reports.parse_load(
+        load_reports.parse_json('{"latency_ms":500,"x0":0.5}'), ("avg_ms", "x0", "x1")
+    )
     assert load == Load(service_time=0.5, memory_share=0.5)
 
 
--- a/yewhook/agent/router_link.py
+++ b/yewhook/agent/router_link.py
@@ -26,7 +26,7 @@
         """Of the router's end, for its process to inherit."""
         return self._theirs.fileno()
 
-    def inherited(self) -> None:
+    def close_router_end(self) -> None:
         self._theirs.close()
 
     def look(self) -> None:
@@ -53,7 +53,7 @@
 
     def close(self) -> None:
         """Hang up; whoever waits for an answer is told that there is none."""
-        self._peer.hang_up()
+        self._peer.close_gracefully()
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
         raise RpcError(Code.METHOD_NOT_FOUND, "a router asks nothing of its agent")
--- a/yewhook/cli.py
+++ b/yewhook/cli.py
@@ -13,7 +13,7 @@
 import typer
 
 from . import __version__
-from .commands.common import AGENT, At, ask_agent, complaint, read_settings
+from .commands.common import DEFAULT_AGENT_ADDRESS, AgentOption, ask_agent, read_settings, usage_error
 from .commands.lab import lab
 from .commands.levels import level_of, levels
 from .commands.recovery import recovery
@@ -22,16 +22,16 @@
 from .front import RouterFront
 from .levels.level import Level
 from .log import Log
-from .operations.door import FILES, Door
 from .operations.instance import Event
-from .oversight import Oversight
+from .operations.management_endpoint import RESERVED_DESCRIPTORS, ManagementEndpoint
 from .platform.front import PlatformFront
-from .service import Room, Service
-from .shortage import insist
+from .service import ResourceBudget, Service
+from .service_level_admin import ServiceLevelAdmin
+from .transient_errors import retry_transient
 
 if TYPE_CHECKING:
-    from .recovery.keeper import Keeper
     from .recovery.settings import RecoverySettings
+    from .recovery.snapshot_store import SnapshotStore
 
 REQUEST_LOG = "PROXY_REQUEST_LOG"  # "all" = write each step of each request, for those who look for a fault
 UPGRADE_PATIENCE = 20.0  # s; the agent gives up before
@@ -54,68 +54,72 @@
     """Run one router until SIGTERM."""
     name = os.environ.get("PROXY_NAME", "router")
     service = Service(Log(name, detailed=os.environ.get(REQUEST_LOG) == "all"))
-    service.heed_signals()
+    service.handle_signals()
     fronts: list[RouterFront] = []
-    keeper = None
+    snapshot_store = None
     try:
         read_operators = partial(read_settings, settings)
-        operators = insist(read_operators)
-        service.log.use(operators.log)
-        config = insist(partial(read_config, os.environ)) if platform else None
+        operators = retry_transient(read_operators)
+        service.log.set_format(operators.log)
+        config = retry_transient(partial(read_config, os.environ)) if platform else None
         limits = config.limits if config else Limits()
-        door_files = FILES if config is not None and config.mgmt is not None else 0
-        room = Room(service.loop, limits, door_files)
+        door_files = RESERVED_DESCRIPTORS if config is not None and config.mgmt is not None else 0
+        room = ResourceBudget(service.loop, limits, door_files)
         if config is not None:
-            keeper = _keeper(service, config, operators.recovery)
-            fronts.append(_platform(service, config, room, keeper))
+            snapshot_store = _snapshot_store(service, config, operators.recovery)
+            fronts.append(_platform(service, config, room, snapshot_store))
         if toolcalls is not None:
             fronts.append(_toolcalls(service, toolcalls, room))
-        oversight = Oversight(service.loop, service.log, limits, fronts, operators, read_operators)
-        if keeper is not None and (pin := keeper.pin) is not None:
-            oversight.pin(Level.named(pin.level), pin.until - time.time(), pin.reason)
+        level_admin = ServiceLevelAdmin(service.loop, service.log, limits, fronts, operators, read_operators)
+        if snapshot_store is not None and (pin := snapshot_store.pin) is not None:
+            level_admin.pin(Level.from_label(pin.level), pin.until - time.time(), pin.reason)
     except (ConfigError, OSError) as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     if not fronts:
-        raise complaint("nothing to serve: --no-platform and no --toolcalls")
+        raise usage_error("nothing to serve: --no-platform and no --toolcalls")
     service.fronts += fronts
     if drained:
-        service.hear(Event.DRAIN)
-    service.files.append(oversight.reload)
+        service.handle_event(Event.DRAIN)
+    service.reloaders.append(level_admin.reload)
     if control_fd is not None:
-        from .control import Control
+        from .agent_link import AgentLink
 
-        Control(service, control_fd, oversight)
+        AgentLink(service, control_fd, level_admin)
     service.run()
 
 
-def _keeper(service: Service, config: Config, settings: RecoverySettings | None) -> Keeper | None:
+def _snapshot_store(
+    service: Service, config: Config, settings: RecoverySettings | None
+) -> SnapshotStore | None:
     if settings is None:
         return None
     # Only where operators want it: what is kept takes a library and memory.
-    from .recovery.keeper import Keeper
+    from .recovery.snapshot_store import SnapshotStore
 
-    return Keeper(service.loop, settings, config.settings, config.names, config.seed)
+    return SnapshotStore(service.loop, settings, config.settings, config.names, config.seed)
 
 
-def _platform(service: Service, config: Config, room: Room, keeper: Keeper | None) -> RouterFront:
-    succession = None
+def _platform(
+    service: Service, config: Config, room: ResourceBudget, snapshot_store: SnapshotStore | None
+) -> RouterFront:
+    hot_restart = None
     if config.accept_fd is not None:
         # Only where a process can be replaced; what the hand-over needs is not free.
-        from .operations.succession import take_place
+        from .operations.hot_restart import join_instance
 
-        succession = take_place(service, os.environ, config.name)
+        hot_restart = join_instance(service, os.environ, config.name)
     if config.mgmt is not None:
-        Door(service, config.mgmt)
-    handed = succession.await_handover() if succession is not None else None
-    succeeds = succession is not None and succession.succeeds
-    again = partial(read_config, os.environ, again=True)
-    front = PlatformFront(service.loop, config, room, again, succeeds, handed, keeper)
-    if succession is not None:
-        succession.attend(front.knowledge, room)
+        ManagementEndpoint(service, config.mgmt)
+    handed = hot_restart.await_handover() if hot_restart is not None else None
+    succeeds = hot_restart is not None and hot_restart.has_predecessor
+    read_again = partial(read_config, os.environ, reload=True)
+    front = PlatformFront(service.loop, config, room, read_again, succeeds, handed, snapshot_store)
+    if hot_restart is not None:
+        hot_restart.monitor(front.handover_state, room)
     return front
 
 
-def _toolcalls(service: Service, path: Path, room: Room) -> RouterFront:
+def _toolcalls(service: Service, path: Path, room: ResourceBudget) -> RouterFront:
     # Only this front needs a DNS library, and a router of the platform has little memory.
     from .toolcalls.config import read
     from .toolcalls.front import ToolCallsFront
@@ -154,17 +158,17 @@
             used = ", ".join(level.label for level in file_levels.known)
             typer.echo(f"{settings}: levels of service are {file_levels.mode.value}: {used}")
         if site is not None:
-            from .sites import read as read_site
+            from .site_files import read as read_site
 
             told = read_site(site)
             classes = ", ".join(f"{c.name} {c.effect} {c.deadline:g} s" for c in told.classes)
             typer.echo(f"{site}: {classes}; {len(told.tenants)} tenants")
         if not any((toolcalls, fleet, settings, site)):
             config = read_config(os.environ)
-            known = len(config.known.get("instances") or [])
+            known = len(config.known_workers.get("instances") or [])
             typer.echo(f"{config.name}: listens on {_place(config.listen)}, {known} known workers")
     except ConfigError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
 
 
 def _place(address: Address) -> str:
@@ -179,7 +183,7 @@
     try:
         found = Records(file, domain.rstrip(".") + ".").browse(service)
     except RecordsError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     for one in found:
         texts = " ".join(f"{key}={value}" for key, value in one.texts.items())
         typer.echo(f"{one.name}\t{_place(one.address)}\t{texts}")
@@ -192,18 +196,21 @@
     from .agent.fleet_file import read as read_fleet
 
     service = Service(Log("agent"))
-    service.heed_signals()
+    service.handle_signals()
     try:
-        stop = partial(service.hear, Event.TERM)
+        stop = partial(service.handle_event, Event.TERM)
         runner = Agent(service.loop, read_fleet(fleet), stop, partial(read_fleet, fleet))
     except (ConfigError, OSError) as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     service.fronts.append(runner)
     service.run()
 
 
 @app.command()
-def status(at: At = AGENT, as_json: Annotated[bool, typer.Option("--json", help="As JSON.")] = False) -> None:
+def status(
+    at: AgentOption = DEFAULT_AGENT_ADDRESS,
+    as_json: Annotated[bool, typer.Option("--json", help="As JSON.")] = False,
+) -> None:
     """Show the routers that an agent runs."""
     instances = ask_agent(at, "agent/status")["instances"]
     if as_json:
@@ -218,19 +225,19 @@
 
 
 @app.command()
-def start(name: str, at: At = AGENT) -> None:
+def start(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
     """Start a router that is stopped."""
     typer.echo(f"{name} {ask_agent(at, 'agent/start', name=name)['state']}")
 
 
 @app.command()
-def stop(name: str, at: At = AGENT) -> None:
+def stop(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
     """Let a router finish what it has taken, and keep it stopped."""
     typer.echo(f"{name} {ask_agent(at, 'agent/stop', name=name)['state']}")
 
 
 @app.command()
-def restart(name: str, at: At = AGENT) -> None:
+def restart(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
     """Let a router finish what it has taken, and start it anew."""
     typer.echo(f"{name} {ask_agent(at, 'agent/restart', name=name)['state']}")
 
@@ -249,19 +256,19 @@
 
 
 @app.command()
-def drain(name: str, at: At = AGENT, by: By = "") -> None:
+def drain(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
     """Let a router finish what it has, and take nothing new; it stays so over restarts, until `resume`."""
     typer.echo(f"{name} {ask_agent(at, 'agent/drain', name=name, by=by or _user())['state']}")
 
 
 @app.command()
-def resume(name: str, at: At = AGENT, by: By = "") -> None:
+def resume(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
     """Let a drained router serve again."""
     typer.echo(f"{name} {ask_agent(at, 'agent/resume', name=name, by=by or _user())['state']}")
 
 
 @app.command()
-def upgrade(name: str, at: At = AGENT, by: By = "") -> None:
+def upgrade(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
     """Start a new process of a router beside the old one, and end that once the new one serves."""
     done = ask_agent(at, "agent/upgrade", timeout=UPGRADE_PATIENCE, name=name, by=by or _user())
     typer.echo(f"{name} {done['state']}, pid {done['pid']}")
@@ -272,7 +279,7 @@
 
 
 @app.command()
-def shutdown(at: At = AGENT) -> None:
+def shutdown(at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
     """Let all routers finish, and end the agent."""
     ask_agent(at, "agent/shutdown")
     typer.echo("shutting down")
--- a/yewhook/commands/common.py
+++ b/yewhook/commands/common.py
@@ -7,15 +7,15 @@
 
 import typer
 
-from ..config import ConfigError, address
+from ..config import ConfigError, parse_address
 from ..jsonrpc import RpcError
-from ..settings import ServiceSettings
+from ..service_settings import ServiceSettings
 
-At = Annotated[str, typer.Option("--agent", help="Where the agent listens.")]
-AGENT = "127.0.0.1:7400"
+AgentOption = Annotated[str, typer.Option("--agent", help="Where the agent listens.")]
+DEFAULT_AGENT_ADDRESS = "127.0.0.1:7400"
 
 
-def complaint(error: object) -> typer.Exit:
+def usage_error(error: object) -> typer.Exit:
     typer.echo(f"yewhook: {error}", err=True)
     return typer.Exit(2)
 
@@ -24,7 +24,7 @@
     """What the operators' file says, or what holds without one. Raises ConfigError."""
     if path is None:
         return ServiceSettings()
-    from ..operators import read  # the checking of it costs memory, which those without a file keep
+    from ..settings_file import read  # the checking of it costs memory, which those without a file keep
 
     return read(path)
 
@@ -34,9 +34,9 @@
     from ..agent.client import ask
 
     try:
-        return ask(address(at, "--agent"), method, params, timeout)
+        return ask(parse_address(at, "--agent"), method, params, timeout)
     except ConfigError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     except RpcError as error:
         typer.echo(f"yewhook: {error.message}", err=True)
     except OSError as error:
--- a/yewhook/commands/levels.py
+++ b/yewhook/commands/levels.py
@@ -11,9 +11,9 @@
 import typer
 
 from ..config import ConfigError
-from ..levels.level import MEANING, Level
-from ..levels.settings import LevelsSettings
-from .common import AGENT, At, ask_agent, complaint, read_settings
+from ..levels.level import LEVEL_DESCRIPTIONS, Level
+from ..levels.settings import ServiceLevelSettings
+from .common import DEFAULT_AGENT_ADDRESS, AgentOption, ask_agent, read_settings, usage_error
 
 levels = typer.Typer(no_args_is_help=True, help="Levels of reduced service.")
 UNITS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -36,11 +36,11 @@
     return f"{front}={told['level']}{watched} for {told['since_s']:.0f} s{pin}"
 
 
-def table(settings: LevelsSettings) -> Iterator[str]:
+def table(settings: ServiceLevelSettings) -> Iterator[str]:
     """The levels with their conditions, a line each."""
     yield f"levels are {settings.mode.value}"
     for level in settings.known:
-        yield f"{level.label}: {MEANING[level]}"
+        yield f"{level.label}: {LEVEL_DESCRIPTIONS[level]}"
         if level is Level.FULL:
             continue
         for name, limit in settings.levels[level].conditions.items():
@@ -76,7 +76,7 @@
     try:
         settings = read_settings(service).levels
     except ConfigError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     for line in table(settings):
         typer.echo(line)
 
@@ -87,20 +87,20 @@
     reason: Annotated[str, typer.Option("--reason", help="Why; it is logged.")],
     duration: Annotated[str, typer.Option("--for", help="How long, as 90s, 10m, 2h.")] = "10m",
     router: Annotated[str | None, typer.Option("--router", help="One router; else all.")] = None,
-    at: At = AGENT,
+    at: AgentOption = DEFAULT_AGENT_ADDRESS,
 ) -> None:
     """Hold routers at a level, whatever they see; it ends by itself."""
     try:
         seconds = seconds_of(duration)
     except ValueError as error:
-        raise complaint(error) from None
+        raise usage_error(error) from None
     _told(ask_agent(at, "levels/pin", level=level, for_s=seconds, reason=reason, **_one(router)))
 
 
 @levels.command()
 def unpin(
     router: Annotated[str | None, typer.Option("--router", help="One router; else all.")] = None,
-    at: At = AGENT,
+    at: AgentOption = DEFAULT_AGENT_ADDRESS,
 ) -> None:
     """Let routers judge for themselves again."""
     _told(ask_agent(at, "levels/unpin", **_one(router)))
--- a/yewhook/levels/capacity.py
+++ b/yewhook/levels/capacity.py
@@ -26,24 +26,24 @@
         self._usable = 0.0
 
     def sent(self, work: float, now: float) -> None:
-        self._work.bump(work, now, SPAN)
+        self._work.add(work, now, SPAN)
 
     def look(self, busy: float, usable: float, now: float) -> None:
         """At this moment so many servers are usable, and so much of them is in use."""
         if self._looked is not None:
-            self._use.bump(min(busy, BUSY_MOST) * usable * (now - self._looked), now, SPAN)
+            self._use.add(min(busy, BUSY_MOST) * usable * (now - self._looked), now, SPAN)
         self._looked, self._usable = now, usable
 
-    def paused(self) -> None:
+    def discard_interval(self) -> None:
         """What passed since the last look was not seen."""
         self._looked = None
 
     def can(self, now: float) -> float | None:
         """Work a second that could be done; None while too little is known."""
-        use = self._use.faded(now, SPAN)
+        use = self._use.decayed(now, SPAN)
         if use < ENOUGH:
             return None
-        return self._work.faded(now, SPAN) / use * self._usable
+        return self._work.decayed(now, SPAN) / use * self._usable
 
 
 class Capacity:
@@ -62,9 +62,9 @@
         # Mixed servers' reading shows in their streams: it slows them.
         self.reading.look(reader.busy, reader.usable, now)
 
-    def paused(self) -> None:
-        self.reading.paused()
-        self.writing.paused()
+    def discard_interval(self) -> None:
+        self.reading.discard_interval()
+        self.writing.discard_interval()
 
     def can(self, now: float) -> float | None:
         """Work a second that the scarcer stage could do; None while too little is known of both."""
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -14,17 +14,17 @@
 from .admission import admit
 from .capacity import Capacity
 from .demand import Demand
-from .estimators import Mean, Quantiles, Rate, Share
-from .ladder import PAUSE, Change, Ladder, Pin
-from .level import MEANING, Level, Signals, Vitals
-from .register import Register
-from .settings import LevelsSettings, Mode
-from .turns import Kind, Standing, Turn, Turns, top_classes
+from .discovery_health import DiscoveryHealth
+from .estimators import DecayingRate, DecayingRatio, Mean, Quantiles
+from .level import LEVEL_DESCRIPTIONS, Level, ProcessHealth, Signals
+from .level_state import PAUSE, Change, LevelStateMachine, Pin
+from .settings import Mode, ServiceLevelSettings
+from .turns import RefusalLoss, Turn, TurnKind, Turns, top_classes
 
 if TYPE_CHECKING:
     from ..recovery.recovery import Recovery
 
-LOOK = 0.25  # s between looks
+EVALUATION_INTERVAL_S = 0.25  # s between looks
 LATE_SPAN, WAIT_SPAN, LOST_SPAN, DONE_SPAN = 5.0, 3.0, 10.0, 20.0  # s; time constants
 WAITS_LEAST = 4.0  # waits seen lately, below which they say nothing
 LOAD_MOST = 10.0  # whatever more there is
@@ -48,35 +48,35 @@
     def __init__(
         self,
         settings: i.Settings,
-        levels: LevelsSettings,
+        levels: ServiceLevelSettings,
         seed: int,
         now: float,
-        vitals: Callable[[], Vitals] = Vitals,
+        vitals: Callable[[], ProcessHealth] = ProcessHealth,
         changed: Callable[[Change], None] = lambda change: None,
         recovery: Recovery | None = None,
     ) -> None:
         self.settings, self.levels, self.recovery = settings, levels, recovery
         self._vitals, self._changed = vitals, changed
-        self.ladder = Ladder(levels, Random(f"levels {seed}").random(), now)
+        self.level_state = LevelStateMachine(levels, Random(f"levels {seed}").random(), now)
         self.signals = Signals()
         self._turns = Turns(settings, levels.long_turn)
         self._demand = Demand(settings, now)
-        self._register = Register()
-        self._late = Share(LATE_SPAN, 0.0)
-        self._late_by_class = [Share(LATE_SPAN, 0.0) for _ in settings.classes]
-        self._lost = Share(LOST_SPAN, 3.0)
+        self._register = DiscoveryHealth()
+        self._late = DecayingRatio(LATE_SPAN, 0.0)
+        self._late_by_class = [DecayingRatio(LATE_SPAN, 0.0) for _ in settings.classes]
+        self._lost = DecayingRatio(LOST_SPAN, 3.0)
         self._waits = Quantiles(WAIT_SPAN)
         self._capacity = Capacity()
-        self._done = Rate(DONE_SPAN, now)
+        self._done = DecayingRate(DONE_SPAN, now)
         self._mean_worth = Mean(0.02)
         self._open: dict[str, _Open] = {}
-        self._shares: list[dict[Kind, float]] = [{} for _ in range(self._demand.tenants)]
+        self._shares: list[dict[TurnKind, float]] = [{} for _ in range(self._demand.tenants)]
         self._next = self._last = now
         self._told: i.ServiceLevel | None = None
 
     # ---- the core's turn ----
 
-    def before(self, now: float, events: Sequence[i.Event], sight: Sight) -> list[i.Event]:
+    def filter_events(self, now: float, events: Sequence[i.Event], sight: Sight) -> list[i.Event]:
         """What the module is to hear: the turns' events, with what there is room for of each that arrived."""
         if now - self._last > PAUSE:
             self._after_pause(now)
@@ -86,12 +86,12 @@
             self._look(now, sight(now))
             out += self._tell(now)
             if self.recovery is not None:
-                out += self.recovery.hints()
+                out += self.recovery.warm_rates()
         for event in events:
             out.append(self._hear(event, now))
         return out
 
-    def after(self, now: float, actions: Sequence[i.Action]) -> None:
+    def observe_actions(self, now: float, actions: Sequence[i.Action]) -> None:
         """What the module did."""
         for act in actions:
             if isinstance(act, i.Send):
@@ -113,14 +113,14 @@
         self._demand = Demand(self.settings, now)
         self._shares = [{} for _ in range(self._demand.tenants)]
         self._waits = Quantiles(WAIT_SPAN)
-        self._capacity.paused()
-        self._next = now + LOOK
+        self._capacity.discard_interval()
+        self._next = now + EVALUATION_INTERVAL_S
 
     # ---- what is heard ----
 
     def _hear(self, event: i.Event, now: float) -> i.Event:
         if self.recovery is not None:
-            self.recovery.hear(event, now)
+            self.recovery.observe(event, now)
         if isinstance(event, i.RequestArrived):
             return self._arrived(event, now)
         if isinstance(event, i.StreamStarted):
@@ -140,7 +140,7 @@
         return event
 
     def _arrived(self, event: i.RequestArrived, now: float) -> i.Event:
-        turn = self._turns.sort(event, now)
+        turn = self._turns.classify(event, now)
         self._demand.came(turn, now)
         self._mean_worth.add(turn.worth)
         self._open[event.id] = _Open(
@@ -158,7 +158,7 @@
         if entry is None:
             return
         if event.outcome is Outcome.READ:
-            under_way = entry.turn.kind.standing is Standing.UNDER_WAY
+            under_way = entry.turn.kind.refusal_loss is RefusalLoss.OPEN_SESSION
             self._turns.read(entry.turn.kind.cls, under_way, entry.prompt, event.note)
         if entry.first is not None:
             whole = event.outcome is Outcome.OK
@@ -189,33 +189,33 @@
         self._late.add(turn.worth, late, now)
         if self.recovery is not None:
             top = turn.kind.cls in top_classes(self.settings, self._turns.mean_work)
-            self.recovery.ended(turn, late, sent, top, now)
+            self.recovery.turn_ended(turn, late, sent, top, now)
         self._late_by_class[turn.kind.cls].add(turn.worth, late, now)
 
     # ---- looks ----
 
     def _look(self, now: float, sight: dict[Role, i.RoleUsage]) -> None:
-        self._next = now + LOOK
+        self._next = now + EVALUATION_INTERVAL_S
         for rid in [rid for rid, entry in self._open.items() if entry.until < now and entry.first is None]:
             del self._open[rid]
         self.signals = self._judge(now, sight)
         if self.recovery is not None:
-            self.recovery.look(now, sight, self._mean_worth.known(1.0))
-            if self.recovery.active and self.ladder.pin is None:
+            self.recovery.update(now, sight, self._mean_worth.known(1.0))
+            if self.recovery.active and self.level_state.pin is None:
                 # The phase rules while service returns: what is seen then says nothing of a level.
                 self._shares = [{} for _ in range(self._demand.tenants)]
                 return
-        change = self.ladder.step(now, self.signals)
+        change = self.level_state.step(now, self.signals)
         if change is not None:
             self._changed(change)
-        if self.ladder.level is Level.FULL:
+        if self.level_state.level is Level.FULL:
             self._shares = [{} for _ in range(self._demand.tenants)]
             return
         demand = [self._demand.by_kind(tenant, now) for tenant in range(self._demand.tenants)]
         can = self._capacity.can(now)
         capacity = self._demand.all(now) if can is None else can * self.levels.target
         top = top_classes(self.settings, self._turns.mean_work)
-        self._shares = admit(self.ladder.level, demand, capacity, self.settings, top, self.signals.late)
+        self._shares = admit(self.level_state.level, demand, capacity, self.settings, top, self.signals.late)
 
     def _judge(self, now: float, sight: dict[Role, i.RoleUsage]) -> Signals:
         vitals = self._vitals()
@@ -228,13 +228,13 @@
             (now - e.turn.arrived) / e.turn.aim for e in self._open.values() if not e.sent and e.turn.aim > 0
         ]
         waiting = max(self._waits.at(0.9, now, WAITS_LEAST), 0.0 if len(held) < WAITS_LEAST else min(held))
-        self._late.least = 2.0 * self._mean_worth.known(1.0)
+        self._late.min_total = 2.0 * self._mean_worth.known(1.0)
         return Signals(
             load=self._load(now),
             late=self._late.at(now),
             waiting=waiting,
             missing=missing,
-            doubt=self._register.doubt(now, vitals.register_age),
+            doubt=self._register.doubt(now, vitals.discovery_age),
             lost=self._lost.at(now),
             descriptors=vitals.descriptors,
             memory=vitals.memory,
@@ -254,14 +254,14 @@
         return min(LOAD_MOST, asked / max(can, asked / LOAD_MOST))
 
     def _tell(self, now: float) -> list[i.Event]:
-        level, settings = self.ladder.level, self.levels
+        level, settings = self.level_state.level, self.levels
         event = i.ServiceLevel()
         if level is not Level.FULL and settings.mode is Mode.ON:
             # Once calm it holds turns again: the long wait that leaving takes need not be paid for in full.
-            certain = level is Level.LAST_RESORT and not self.ladder.calm
+            certain = level is Level.LAST_RESORT and not self.level_state.calm
             event = i.ServiceLevel(level.label, settings.levels[level].retry_after, certain)
         if self.recovery is not None and self.recovery.active and not event.certain:
-            event = self.recovery.level(now)
+            event = self.recovery.service_level(now)
         if event == (self._told or i.ServiceLevel()):
             return []
         self._told = event
@@ -270,34 +270,34 @@
     # ---- operators ----
 
     def pin(self, level: Level, seconds: float, reason: str, now: float) -> None:
-        self.ladder.set_pin(Pin(level, now + seconds, reason))
+        self.level_state.set_pin(Pin(level, now + seconds, reason))
         self._next = now
 
     def unpin(self) -> None:
-        self.ladder.set_pin(None)
+        self.level_state.set_pin(None)
 
-    def configure(self, levels: LevelsSettings, now: float) -> None:
+    def configure(self, levels: ServiceLevelSettings, now: float) -> None:
         """Put other settings in force; a level that they don't know is left at once."""
         self.levels = levels
         self._turns.long_turn = levels.long_turn
-        change = self.ladder.configure(levels, now)
+        change = self.level_state.configure(levels, now)
         if change is not None:
             self._changed(change)
         self._next = now
 
-    def usual(self, now: float) -> float:
+    def turn_rate(self, now: float) -> float:
         """Turns a second that this router sends on, over a longer while."""
         return self._done.at(now)
 
     def report(self, now: float) -> dict[str, Any]:
         """For operators, as JSON holds it."""
-        pin = self.ladder.pin
-        level = self.ladder.level
+        pin = self.level_state.pin
+        level = self.level_state.level
         return {
             "mode": self.levels.mode.value,
             "level": level.label,
-            "meaning": MEANING[level],
-            "since_s": round(now - self.ladder.since, 1),
+            "meaning": LEVEL_DESCRIPTIONS[level],
+            "since_s": round(now - self.level_state.since, 1),
             "signals": {name: round(self.signals.value(name), 3) for name in self.signals.__slots__},
             "late_by_class": [round(share.at(now), 3) for share in self._late_by_class],
             "admitted": [round(self._admitted(tenant, now), 3) for tenant in range(self._demand.tenants)],
--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -10,9 +10,9 @@
 
 from .deadlines import Deadline, Deadlines
 from .log import Log
-from .shortage import insist
+from .transient_errors import retry_transient
 
-Handler = Callable[[int], None]
+EventHandler = Callable[[int], None]
 LONG_TURN = 0.1  # s; a turn that takes longer is logged: nothing else is heard meanwhile
 
 
@@ -33,17 +33,18 @@
     def __init__(self, log: Log, clock: Callable[[], float] = time.monotonic) -> None:
         self.log, self._clock = log, clock
         self.deadlines = Deadlines()
-        self.gatherers: list[Callable[[], None]] = []  # what is looked at in each turn and wakes nobody
+        self.pollers: list[Callable[[], None]] = []  # what is looked at in each turn and wakes nobody
         self.deciders: list[Turn] = []
         self.stopped = False
-        self.now = self.looked_at = clock()  # of this turn's look at the files, and of the one before it
+        # Times of this turn's look at the files, and of the one before it
+        self.now = self.previous_poll_at = clock()
         self.sockets = 0  # open ones that this process holds, as their owners count them
         self.accepted = 0  # those of them that others have opened
         self.finishing = 0  # those of them whose last bytes are still on their way
-        self._selector = insist(selectors.DefaultSelector)
+        self._selector = retry_transient(selectors.DefaultSelector)
         self._first: set[int] = set()  # files that are heard before all others
 
-    def watch(self, sock: HasFile, events: int, handler: Handler, first: bool = False) -> None:
+    def watch(self, sock: HasFile, events: int, handler: EventHandler, first: bool = False) -> None:
         """Watch a socket or a pipe's end for these events (0 = none); `first` = before others in a turn."""
         known = sock.fileno() in self._selector.get_map()
         if first and events:
@@ -69,17 +70,17 @@
     def run_turn(self, longest: float | None = None) -> bool:
         """One turn, waiting for it no longer than this; whether there is something to decide on at once."""
         waits = [] if longest is None else [longest]
-        if (due := self.deadlines.next()) is not None:
+        if (due := self.deadlines.next_due()) is not None:
             waits.append(max(0.0, due - self._clock()))
         ready = self._selector.select(min(waits, default=None))
-        self.looked_at, self.now = self.now, self._clock()
+        self.previous_poll_at, self.now = self.now, self._clock()
         if self._first:
             ready.sort(key=lambda heard: heard[0].fd not in self._first)
         for key, mask in ready:
             if self._selector.get_map().get(key.fd) is key:  # an earlier handler may have closed it
                 self._guard(lambda key=key, mask=mask: key.data(mask))  # type: ignore[misc]
         heard = self._clock()
-        for call in (*self.deadlines.due(self.now), *self.gatherers):
+        for call in (*self.deadlines.pop_due(self.now), *self.pollers):
             self._guard(call)
         timed = self._clock()
         again = any([decider.turn(self.now) for decider in self.deciders])
--- a/yewhook/recovery/recovery.py
+++ b/yewhook/recovery/recovery.py
@@ -14,17 +14,16 @@
 from hopshed import interface as i
 from hopshed.estimate import Estimate
 from hopshed.interface import ListKind, Outcome, Role, ServerState
-from hopshed.slow_start import WORK_MEMORY
+from hopshed.slow_start import WORK_RATE_TIME_CONSTANT_S
 
-from ..levels.estimators import Share
-from ..levels.turns import Standing as TurnStanding
-from ..levels.turns import Turn
-from .phases import WAITS_FOR, WARM, Phase, Sight, Standing
+from ..levels.estimators import DecayingRatio
+from ..levels.turns import RefusalLoss, Turn
+from .peer_messages import PeerMessage, Seen, choose
+from .phases import WAITS_FOR, WARM, Phase, PhaseEvidence, PhaseState
 from .ramp import LATE_SPAN, Ramp, Rank, rank
+from .restart_scope import Evidence, Scope, ScopeEstimate, estimate_scope
 from .settings import RecoverySettings
-from .trust import LIVES, Fact, Kind, Ledger, Source
-from .verdict import Evidence, Scope, Verdict, judge
-from .words import Seen, Word, choose
+from .trust import LIVES, Fact, FactKind, Ledger, Source
 
 FEW = 2.0  # turns, below which lateness says little
 FIRST_TURNS = 0.5  # turns a second for each usable server over all routers, where no pace is known
@@ -38,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Past:
+class PreviousRun:
     """What this router's snapshot says, on the clock of now."""
 
     wrote: float
@@ -49,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Usual:
+class UsualTraffic:
     """What this router did before, in full service."""
 
     turns: float  # a second that it sent on
@@ -57,14 +56,16 @@
     rates: dict[Role, float]  # sends of mean work a second to one of them
 
 
-def usual(turns: float, servers: Mapping[Role, list[int]], sent: Mapping[int, Estimate], now: float) -> Usual:
+def usual_traffic(
+    turns: float, servers: Mapping[Role, list[int]], sent: Mapping[int, Estimate], now: float
+) -> UsualTraffic:
     """`turns` a second that the router sent on; `sent` = the module's rates of what went to each server."""
     rates = {}
     for role, numbers in servers.items():
-        known = [sent[n].faded(now, WORK_MEMORY) for n in numbers if n in sent]
+        known = [sent[n].decayed(now, WORK_RATE_TIME_CONSTANT_S) for n in numbers if n in sent]
         if known:
             rates[role] = sum(known) / len(known)
-    return Usual(turns, {role: len(numbers) for role, numbers in servers.items()}, rates)
+    return UsualTraffic(turns, {role: len(numbers) for role, numbers in servers.items()}, rates)
 
 
 class Recovery:
@@ -79,11 +80,11 @@
         """`say` = a line of the log."""
         self.settings, self._module, self._say, self._random = settings, module, say, random
         self.ledger = Ledger()
-        self.verdict = Verdict(Scope.UNKNOWN, ())
-        self.standing = Standing(Phase.NOTHING, now)
+        self.scope_estimate = ScopeEstimate(Scope.UNKNOWN, ())
+        self.phase_state = PhaseState(Phase.NOTHING, now)
         self.ramp = Ramp(settings, [tenant.share for tenant in module.tenants], now)
         self.began = now
-        self._past: Past | None = None
+        self._past: PreviousRun | None = None
         self._servers: dict[int, i.Server] = {}
         self._starts: dict[int, float | None] = {}  # by the register, of workers that the past knows
         self._generation = 0
@@ -92,20 +93,22 @@
         self._routers: dict[int, tuple[float, float]] = {}  # other router -> up since, heard
         self._proven: dict[int, float] = {}  # worker -> since when it warms up, where no list says
         self._restarted: set[int] = set()  # workers that the register has told of since the loss
-        self._usual: Usual | None = None
+        self._usual: UsualTraffic | None = None
         self._rates_told = True
         self._lost: dict[int, float] = {}  # worker -> when nothing came back from it
         self._warm = 0.0
         self._mean_worth = 1.0
-        self._own_late = Share(LATE_SPAN, 0.0)  # what other routers are told; theirs must not come round
+        self._own_late = DecayingRatio(
+            LATE_SPAN, 0.0
+        )  # what other routers are told; theirs must not come round
 
     @property
     def active(self) -> bool:
-        return self.standing.phase is not Phase.FULL
+        return self.phase_state.phase is not Phase.FULL
 
     # ---- what is known from before ----
 
-    def remember(self, past: Past) -> None:
+    def load_previous_run(self, past: PreviousRun) -> None:
         """Take this router's own snapshot into account; before the first list."""
         self._past, self._generation = past, past.generation
         for server in past.servers:
@@ -115,19 +118,21 @@
         """What to begin with, before the register has spoken: the configuration's list and the snapshot's."""
         for server in known:
             self._note_server(server, Source.KNOWN, now)
-        facts = (self.ledger.best(Kind.LISTED, n, now) for n in sorted(self.ledger.about(Kind.LISTED)))
+        facts = (
+            self.ledger.best(FactKind.LISTED, n, now) for n in sorted(self.ledger.about(FactKind.LISTED))
+        )
         return tuple(self._drained(f.value, True) for f in facts if f and isinstance(f.value, i.Server))
 
     def _note_server(self, server: i.Server, source: Source, at: float) -> None:
         note, n = self.ledger.note, server.id
-        note(Fact(Kind.LISTED, n, server, source, at))
-        note(Fact(Kind.STARTED, n, server.started, source, at))
+        note(Fact(FactKind.LISTED, n, server, source, at))
+        note(Fact(FactKind.STARTED, n, server.started, source, at))
         if server.state is ServerState.DRAINING:
-            note(Fact(Kind.DRAIN, n, server.started, source, at))
+            note(Fact(FactKind.DRAIN, n, server.started, source, at))
         elif server.state is ServerState.RUNNING:
-            note(Fact(Kind.RUNS, n, True, source, at))
+            note(Fact(FactKind.RUNS, n, True, source, at))
 
-    def merge(
+    def merge_list(
         self, kind: ListKind, servers: tuple[i.Server, ...], generation: int, now: float
     ) -> tuple[i.Server, ...]:
         """What the module is to take for the register's list.
@@ -172,18 +177,18 @@
 
     def _drained(self, server: i.Server, back: bool) -> i.Server:
         """A drain ends by the register's later word or with its process, not by a list from before it."""
-        order = self.ledger.best(Kind.DRAIN, server.id, self.began)
+        order = self.ledger.best(FactKind.DRAIN, server.id, self.began)
         if order is None or server.state is not ServerState.RUNNING:
             return server
         began_after = server.started is not None and server.started != order.value
         from_before = order.source is Source.SNAPSHOT and self._generation_back
         if began_after or not (back or from_before):
-            self.ledger.end(Kind.DRAIN, server.id)
+            self.ledger.end(FactKind.DRAIN, server.id)
             return server
         return server._replace(state=ServerState.DRAINING)
 
     @property
-    def drains(self) -> frozenset[int]:
+    def draining_workers(self) -> frozenset[int]:
         """Workers that are told to drain."""
         return frozenset(n for n, s in self._servers.items() if s.state is ServerState.DRAINING)
 
@@ -197,7 +202,7 @@
 
     # ---- what is heard ----
 
-    def hear(self, event: i.Event, now: float) -> None:
+    def observe(self, event: i.Event, now: float) -> None:
         if isinstance(event, i.ServersListed):
             self._listed(event)
         elif isinstance(event, i.StreamStarted):
@@ -209,7 +214,7 @@
                 self._gone(event.server, now)
 
     def _alive(self, server: int, now: float) -> None:
-        self.ledger.note(Fact(Kind.RUNS, server, True, Source.ANSWERS, now))
+        self.ledger.note(Fact(FactKind.RUNS, server, True, Source.ANSWERS, now))
         self._lost.pop(server, None)
         self._prove(server, now)
 
@@ -220,8 +225,8 @@
 
     def _gone(self, server: int, now: float) -> None:
         """Nothing came back; of a worker that has answered somebody lately, that says little."""
-        if self.ledger.belief(Kind.RUNS, server, now) <= LIVES / 2 or not self._shown(server, now):
-            self.ledger.end(Kind.RUNS, server)
+        if self.ledger.belief(FactKind.RUNS, server, now) <= LIVES / 2 or not self._shown(server, now):
+            self.ledger.end(FactKind.RUNS, server)
             self._proven.pop(server, None)
             self._lost[server] = now
         if server in self._missed:
@@ -242,56 +247,56 @@
             self._proven.setdefault(number, -math.inf)
         self._restarted -= named.keys()
 
-    def ended(self, turn: Turn, late: bool, sent: bool, top: bool, now: float) -> None:
+    def turn_ended(self, turn: Turn, late: bool, sent: bool, top: bool, now: float) -> None:
         """A turn's first answer has come, late or not, or never. Of the lesser ones what no server had says
         nothing; of the worthiest, it says that others took their place."""
         if sent or top:
             self.ramp.late.add(turn.worth, late, now)
             self._own_late.add(turn.worth, late, now)
 
-    def heard(self, sender: int, word: Word, now: float) -> None:
+    def message_received(self, sender: int, word: PeerMessage, now: float) -> None:
         """Another router's word."""
         self._routers[sender] = (now - word.up_for, now)
         count = sum(now - heard < ROUTER_HEARD for _, heard in self._routers.values()) + 1
-        self.ledger.note(Fact(Kind.ROUTERS, 0, count, Source.PEERS, now))
+        self.ledger.note(Fact(FactKind.ROUTERS, 0, count, Source.PEERS, now))
         self.ramp.late.add(word.turns * self._mean_worth * word.late, True, now)
         self.ramp.late.add(word.turns * self._mean_worth * (1.0 - word.late), False, now)
         for seen in word.workers:
             at = now - seen.age
             if seen.runs and seen.server in self._servers:
-                self.ledger.note(Fact(Kind.RUNS, seen.server, True, Source.PEERS, at))
+                self.ledger.note(Fact(FactKind.RUNS, seen.server, True, Source.PEERS, at))
                 self._prove(seen.server, now)
 
-    def word(self, asks: bool, now: float) -> Word:
+    def message(self, asks: bool, now: float) -> PeerMessage:
         """What this router tells of itself and of the workers that it has met lately."""
-        met = (self.ledger.best(Kind.RUNS, n, now) for n in self.ledger.about(Kind.RUNS))
+        met = (self.ledger.best(FactKind.RUNS, n, now) for n in self.ledger.about(FactKind.RUNS))
         seen = [Seen(f.about, True, now - f.at) for f in met if f and f.source is Source.ANSWERS]
         seen += [Seen(n, False, now - at) for n, at in self._lost.items() if now - at < LOST_FOR]
-        late, worth = self._own_late.at(now), self._own_late.all.faded(now, LATE_SPAN)
+        late, worth = self._own_late.at(now), self._own_late.all.decayed(now, LATE_SPAN)
         workers, turns = choose(seen, self._random), worth / max(self._mean_worth, 1e-9)
-        return Word(asks, self.standing.phase, now - self.began, workers, late, turns)
+        return PeerMessage(asks, self.phase_state.phase, now - self.began, workers, late, turns)
 
     def _shown(self, server: int, now: float) -> bool:
-        fact = self.ledger.best(Kind.RUNS, server, now)
+        fact = self.ledger.best(FactKind.RUNS, server, now)
         return fact is not None and fact.source in (Source.ANSWERS, Source.PEERS)
 
     # ---- looks ----
 
-    def expect(self, usual: Usual) -> None:
+    def set_usual_traffic(self, usual: UsualTraffic) -> None:
         """What was usual before, by this router's snapshot."""
         self._usual, self._rates_told = usual, False
 
-    def look(self, now: float, sight: dict[Role, i.RoleUsage], mean_worth: float) -> None:
+    def update(self, now: float, sight: dict[Role, i.RoleUsage], mean_worth: float) -> None:
         self._judge(now)
         self._mean_worth = mean_worth
-        self.ramp.late.least = FEW * mean_worth
+        self.ramp.late.min_total = FEW * mean_worth
         seen = self._sight(now, sight)
-        before, self.standing = self.standing, self.standing.step(seen, now, self.settings.calm)
-        if self.standing.phase is not before.phase:
+        before, self.phase_state = self.phase_state, self.phase_state.step(seen, now, self.settings.calm)
+        if self.phase_state.phase is not before.phase:
             why = f"after {now - before.since:.1f} s, {round(100 * seen.warm)}% of what is known is warm"
-            self._say("recovery phase", f"{before.phase.label} to {self.standing.phase.label}: {why}")
+            self._say("recovery phase", f"{before.phase.label} to {self.phase_state.phase.label}: {why}")
         warm = self._shown_to_do(self._able(now))
-        self.ramp.look(now, warm, self.standing.phase >= Phase.TRICKLE)
+        self.ramp.look(now, warm, self.phase_state.phase >= Phase.TRICKLE)
 
     def _judge(self, now: float) -> None:
         past = self._past
@@ -302,26 +307,26 @@
             past.wrote, past.same_boot, past.clock_back, self._starts, self._generation_back,
             sum(up <= past.wrote for up in since), sum(up > past.wrote for up in since),
         )  # fmt: skip
-        verdict = judge(evidence)
-        changed = verdict.scope is not self.verdict.scope or not self.verdict.why
-        self.verdict = verdict
+        verdict = estimate_scope(evidence)
+        changed = verdict.scope is not self.scope_estimate.scope or not self.scope_estimate.why
+        self.scope_estimate = verdict
         if changed:
             self._say("restart judged", str(verdict))
 
-    def _sight(self, now: float, sight: dict[Role, i.RoleUsage]) -> Sight:
+    def _sight(self, now: float, sight: dict[Role, i.RoleUsage]) -> PhaseEvidence:
         mixed = sight[Role.MIXED]
         stages = [(sight[role].usable + mixed.usable, sight[role].listed + mixed.listed)
                   for role in (Role.READER, Role.WRITER)]  # fmt: skip
         self._warm = min(usable / listed if listed else 0.0 for usable, listed in stages)
-        alive = self.alive()
+        alive = self.workers_alive()
         proven = bool(alive[Role.MIXED] or (alive[Role.READER] and alive[Role.WRITER]))
-        return Sight(
+        return PhaseEvidence(
             path=all(listed for _, listed in stages),
             proven=proven,
             late=self.ramp.late.at(now) >= self.settings.late,
             fits=self.ramp.fits(now),
             warm=self._warm,
-            alone=self.verdict.scope is Scope.ALONE or self._first_start(now),
+            alone=self.scope_estimate.scope is Scope.ALONE or self._first_start(now),
         )
 
     def _first_start(self, now: float) -> bool:
@@ -332,7 +337,7 @@
         cold = sum(at is not None and now - at < self._module.cold_time for at in began)
         return cold <= (1.0 - WARM) * len(began)
 
-    def alive(self) -> Alive:
+    def workers_alive(self) -> Alive:
         """Workers of each role that have shown themselves, to this router or to another one."""
         found = dict.fromkeys(Role, 0)
         for server in self._shown_servers():
@@ -372,11 +377,11 @@
     # ---- what it asks of the module ----
 
     def admits(self, turn: Turn, top: frozenset[int], now: float) -> bool:
-        phase = self.standing.phase
+        phase = self.phase_state.phase
         if phase is Phase.FULL:
             return True
-        if not self._text_stands and turn.kind.standing is TurnStanding.UNDER_WAY:
-            turn = replace(turn, kind=turn.kind._replace(standing=TurnStanding.NEW))
+        if not self._text_stands and turn.kind.refusal_loss is RefusalLoss.OPEN_SESSION:
+            turn = replace(turn, kind=turn.kind._replace(refusal_loss=RefusalLoss.NEW_SESSION))
         if phase is Phase.NOTHING:
             return rank(turn.kind, top) is Rank.BACK
         return self.ramp.admits(turn, top, now)
@@ -384,16 +389,16 @@
     @property
     def _text_stands(self) -> bool:
         """Whether what was kept before this start can be there still."""
-        return self.verdict.scope is Scope.ALONE
+        return self.scope_estimate.scope is Scope.ALONE
 
-    def hints(self) -> list[i.Event]:
+    def warm_rates(self) -> list[i.Event]:
         """What the module is to know of before, once; its budgets for cold workers go by warm ones."""
         if self._rates_told or self._usual is None:
             return []
         self._rates_told = True
         return [i.WarmRates(tuple(self._usual.rates.items()))]
 
-    def level(self, now: float) -> i.ServiceLevel:
+    def service_level(self, now: float) -> i.ServiceLevel:
         """What the module goes by while service returns."""
         least, most = self.ramp.retry_after(now)
         return i.ServiceLevel(LEVEL, (round(least, 1), round(most, 1)), False)
@@ -403,17 +408,17 @@
     def report(self, now: float) -> dict[str, Any]:
         past = self._past
         by_source: dict[str, int] = {}
-        for number in self.ledger.about(Kind.LISTED):
-            if (fact := self.ledger.best(Kind.LISTED, number, now)) is not None:
+        for number in self.ledger.about(FactKind.LISTED):
+            if (fact := self.ledger.best(FactKind.LISTED, number, now)) is not None:
                 by_source[fact.source.value] = by_source.get(fact.source.value, 0) + 1
         return {
-            "phase": self.standing.phase.label,
-            "since_s": round(now - self.standing.since, 1),
-            "waits_for": WAITS_FOR[self.standing.phase],
-            "judged": str(self.verdict),
+            "phase": self.phase_state.phase.label,
+            "since_s": round(now - self.phase_state.since, 1),
+            "waits_for": WAITS_FOR[self.phase_state.phase],
+            "judged": str(self.scope_estimate),
             "snapshot_age_s": round(now - past.wrote, 1) if past is not None else None,
             "workers_by_source": by_source,
-            "alive": {role.value: count for role, count in self.alive().items()},
+            "alive": {role.value: count for role, count in self.workers_alive().items()},
             "warm": round(self._warm, 3),
             "routers": len(self._routers) + 1,
             "admits": self.ramp.figures(now),
--- a/yewhook/settings.py
+++ b/yewhook/service_settings.py
@@ -1,4 +1,4 @@
-"""What the operators' file sets, as the program goes by it. Reading the file is `operators.py`'s."""
+"""What the operators' file sets, as the program goes by it. Reading the file is `settings_file.py`'s."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from .levels.level import Level
-from .levels.settings import LevelsSettings
-from .log import Form
+from .levels.settings import ServiceLevelSettings
+from .log import LogFormat
 
 if TYPE_CHECKING:
     from .recovery.settings import RecoverySettings
@@ -24,7 +24,7 @@
 class ServiceSettings:
     """The defaults are what holds without a file."""
 
-    log: Form = Form.CONSOLE
-    levels: LevelsSettings = field(default_factory=LevelsSettings)
+    log: LogFormat = LogFormat.CONSOLE
+    levels: ServiceLevelSettings = field(default_factory=ServiceLevelSettings)
     pin: PinSetting | None = None
     recovery: RecoverySettings | None = None  # None = off
--- a/yewhook/operators.py
+++ b/yewhook/settings_file.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from .config import ConfigError, toml
+from .config import ConfigError, read_toml
 from .levels.level import SIGNALS, Level
-from .levels.settings import LevelSettings, LevelsSettings, Mode, Threshold
-from .log import Form
-from .settings import PinSetting, ServiceSettings
+from .levels.settings import LevelSettings, Mode, ServiceLevelSettings, Threshold
+from .log import LogFormat
+from .service_settings import PinSetting, ServiceSettings
 
 if TYPE_CHECKING:
     from .recovery.settings import RecoverySettings
@@ -101,25 +101,27 @@
 
 def read(path: Path) -> ServiceSettings:
     """Raises ConfigError, which names the file, the key, the value and what was expected."""
-    raw = toml(path)
+    raw = read_toml(path)
     try:
         file = msgspec.convert(raw, File)
         recovery = _recovery(file.recovery, path.parent)
         if recovery is not None and file.levels.mode != "on":
             mode = file.levels.mode
             raise ValueError(f"levels.mode: got {mode!r}, expected 'on', for recovery.mode is 'on'")
-        return ServiceSettings(Form(file.log.form), _levels(file.levels), _pin(file.levels.pin), recovery)
+        return ServiceSettings(
+            LogFormat(file.log.form), _levels(file.levels), _pin(file.levels.pin), recovery
+        )
     except msgspec.ValidationError as error:
         raise ConfigError(f"{path}: {_plain(str(error), raw)}") from None
     except ValueError as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _levels(table: LevelsTable) -> LevelsSettings:
+def _levels(table: LevelsTable) -> ServiceLevelSettings:
     tables = {Level.GUARDED: table.guarded, Level.THRIFTY: table.thrifty,
               Level.ESSENTIAL: table.essential, Level.LAST_RESORT: table.last_resort}  # fmt: skip
-    defaults = LevelsSettings()
-    wanted = {Level.named(name) for name in table.use} if table.use is not None else set(tables)
+    defaults = ServiceLevelSettings()
+    wanted = {Level.from_label(name) for name in table.use} if table.use is not None else set(tables)
     levels = {level: one.over(defaults.levels[level]) for level, one in tables.items() if level in wanted}
     given: dict[str, Any] = {name: getattr(table, f"{name}_s") for name in TIMES}
     given |= {name: getattr(table, name) for name in FIGURES}
@@ -143,7 +145,7 @@
     if table is None:
         return None
     until = table.until if table.until.tzinfo is not None else table.until.replace(tzinfo=UTC)
-    return PinSetting(Level.named(table.level), until.timestamp(), table.reason)
+    return PinSetting(Level.from_label(table.level), until.timestamp(), table.reason)
 
 
 WHERE = re.compile(r"(.*?)(?: - at `\$\.?(.*)`)?", re.DOTALL)
--- a/yewhook/toolcalls/front.py
+++ b/yewhook/toolcalls/front.py
@@ -8,7 +8,7 @@
 from ..dnssd import Records, RecordsError, ServiceInstance
 from ..front import RouterFront
 from ..loop import Loop
-from ..service import Room
+from ..service import ResourceBudget
 from .clients import ClientFront
 from .config import ToolCallsConfig
 from .fleet import Fleet
@@ -18,19 +18,19 @@
 
 
 class ToolCallsFront(RouterFront):
-    whose = "toolcalls"
+    front_name = "toolcalls"
 
     def __init__(
         self,
         loop: Loop,
         config: ToolCallsConfig,
-        room: Room,
+        room: ResourceBudget,
         seed: int,
         read_again: Callable[[], ToolCallsConfig],
     ) -> None:
         self._config, self._read_again = config, read_again
         self._records = _records(config)
-        pool = PeerPool(loop, room.for_workers, config.connect_timeout, config.idle_limit)
+        pool = PeerPool(loop, room.can_open_worker, config.connect_timeout, config.idle_limit)
         super().__init__(
             loop,
             config.settings,
@@ -44,12 +44,14 @@
             pool,
             tools,
             config.names.columns,
-            self.registry,
+            self.worker_list,
             self.releases.release,
             config.worker_silence,
         )
-        self.route(workers, seed)
-        self._fleet = Fleet(loop, self._records, config.worker_service, self.registry, self.router.listed)
+        self.create_router(workers, seed)
+        self._fleet = Fleet(
+            loop, self._records, config.worker_service, self.worker_list, self.router.servers_listed
+        )
         self.clients = ClientFront(loop, self.router, config.names)
         self.open(self.clients, config.listen, room, "tool-calls")
 
@@ -57,7 +59,7 @@
         return self._records.browse(self._config.tool_service)
 
     @property
-    def register_age(self) -> float:
+    def discovery_age(self) -> float:
         return self.loop.now - self._fleet.looked
 
     def reload(self) -> Callable[[], str]:
--- a/yewhook/toolcalls/tools.py
+++ b/yewhook/toolcalls/tools.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..dnssd import ServiceInstance, in_order
-from ..jsonrpc import Code, Id, Lost, Peer, RpcError
+from ..dnssd import ServiceInstance, order_instances
+from ..jsonrpc import Code, ConnectionLost, Id, Peer, RpcError
 from ..loop import Loop
 from .endings import of_tool
 from .peers import PeerPool
@@ -36,7 +36,7 @@
         while self._left:
             server = self._left.pop(0)
             try:
-                peer = self.tools.pool.take(server.address)
+                peer = self.tools.pool.acquire(server.address)
             except OSError as error:
                 self.tools.loop.log("no connection to a tool server", f"{server.name}: {error}")
                 continue
@@ -50,11 +50,11 @@
         if self._over or self._peer is None:
             return
         peer, self._peer = self._peer, None
-        if isinstance(error, Lost) and not error.sent:
+        if isinstance(error, ConnectionLost) and not error.sent:
             return self.next()
         # After a time-out a late reply could still come, so the connection is not used again.
         clean = error is None or error.__class__ is RpcError
-        self.tools.pool.give_back(peer) if clean else self.tools.pool.hang_up(peer)
+        self.tools.pool.give_back(peer) if clean else self.tools.pool.close_gracefully(peer)
         if error is not None:
             error = of_tool(error, self.name)
             self.tools.loop.log("tool call failed", f"{error.code} {error.message}")
@@ -70,7 +70,7 @@
         self._over = True
         if self._peer is not None:
             self._peer.cancel(self._asked, reason)
-            self.tools.pool.hang_up(self._peer)
+            self.tools.pool.close_gracefully(self._peer)
             self._peer = None
 
 
@@ -87,7 +87,7 @@
         self._browse, self._random = browse, random.Random(seed)
 
     def servers(self, tool: str) -> list[ServiceInstance]:
-        return in_order([s for s in self._browse() if offers(s, tool)], self._random)
+        return order_instances([s for s in self._browse() if offers(s, tool)], self._random)
 
     def call(self, params: dict[str, Any], answered: Answered) -> ToolCall:
         """Begin a call; it may be answered before this returns."""
--- a/yewhook/registry.py
+++ b/yewhook/worker_list.py
@@ -8,9 +8,9 @@
 
 from hopshed import interface as i
 
-from .config import Address, ConfigError, Names, address
+from .config import Address, ConfigError, Names, parse_address
 from .log import Log
-from .start_times import StartTimes, Told
+from .start_times import MessageTimes, StartTimes
 
 STATES = {
     "up": i.ServerState.RUNNING,
@@ -18,7 +18,7 @@
     "removed": i.ServerState.GONE,
 }
 
-NO_TIMES = Told()
+NO_TIMES = MessageTimes()
 
 
 def server_id(instance: str) -> int:
@@ -26,7 +26,7 @@
     return int.from_bytes(blake2b(instance.encode(), digest_size=6).digest(), "big")
 
 
-class Registry:
+class WorkerList:
     """Translates discovery's entries into the module's servers, and keeps their addresses."""
 
     def __init__(self, names: Names, unix_offset: float, log: Log) -> None:
@@ -36,7 +36,7 @@
         self.addresses: dict[int, Address] = {}
         self.states: dict[int, i.ServerState] = {}
 
-    def entry(self, raw: dict[str, Any], told: Told) -> i.Server:
+    def entry(self, raw: dict[str, Any], told: MessageTimes) -> i.Server:
         """One entry of a list. Raises KeyError, TypeError, ValueError, OverflowError or AttributeError."""
         number = server_id(str(raw["instanceId"]))
         started = float(raw.get("startedAtMs") or 0.0)
@@ -51,13 +51,13 @@
             float(raw.get("weight") or 1.0),
         )
 
-    def read(self, message: dict[str, Any], told: Told = NO_TIMES) -> tuple[i.Server, ...]:
+    def parse(self, message: dict[str, Any], told: MessageTimes = NO_TIMES) -> tuple[i.Server, ...]:
         """The servers of a list or of changes; an entry that makes no sense must not hide the others."""
         servers = []
         for raw in message.get("instances") or []:
             try:
                 server = self.entry(raw, told)
-                place = address(raw["hostPort"], "hostPort") if raw.get("hostPort") else None
+                place = parse_address(raw["hostPort"], "hostPort") if raw.get("hostPort") else None
             except (KeyError, TypeError, ValueError, OverflowError, AttributeError, ConfigError) as error:
                 self.log("entry not understood", f"{type(error).__name__} {error} in {raw}")
                 continue
@@ -85,9 +85,9 @@
         for server, place in listed.items():
             if place is not None:
                 self.addresses.setdefault(server.id, place)
-        return self.keep(listed)
+        return self.set_states(listed)
 
-    def keep(self, servers: Iterable[i.Server]) -> tuple[i.Server, ...]:
+    def set_states(self, servers: Iterable[i.Server]) -> tuple[i.Server, ...]:
         """Go by these states, whatever the list says of them."""
         kept = tuple(servers)
         self.states.update((server.id, server.state) for server in kept)
@@ -98,10 +98,10 @@
         self.addresses.pop(number, None)
         self.states.pop(number, None)
 
-    def in_use(self) -> set[Address]:
+    def active_addresses(self) -> set[Address]:
         there = (n for n, state in self.states.items() if state is not i.ServerState.GONE)
         return {self.addresses[n] for n in there if n in self.addresses}
 
-    def running(self) -> list[Address]:
+    def running_addresses(self) -> list[Address]:
         up = (n for n, state in self.states.items() if state is i.ServerState.RUNNING)
         return [self.addresses[n] for n in up if n in self.addresses]
--- a/yewlab/fleet.py
+++ b/yewlab/fleet.py
@@ -10,7 +10,7 @@
 from hopshed import interface as i
 from hopshed.interface import ListKind, Role, ServerState
 from yewhook.core.ending import Ending
-from yewhook.core.ports import Told
+from yewhook.core.ports import AttemptListener
 
 from .costs import Costs, whole_work
 from .engines import Engine, Job, Server
@@ -177,7 +177,7 @@
 class RouterWorkers:
     """One router's way to the fleet: the core's `Workers`."""
 
-    told: Told
+    told: AttemptListener
 
     def __init__(self, fleet: Fleet, router: int) -> None:
         self.fleet, self.router = fleet, router
@@ -243,7 +243,7 @@
 
     def _first(self, out: Out) -> None:
         if not out.over:
-            self.told.event(out.job.request_id, out.number, "first")
+            self.told.stream_event(out.job.request_id, out.number, "first")
 
     def tell(self, out: Out, ending: Ending) -> None:
         def arrive() -> None:
@@ -254,7 +254,7 @@
             if ending is Ending.READ:
                 note = int(out.job.prompt - out.job.fresh)
             load = out.box.server.load() if ending in HEARD else None
-            self.told.ended(out.job.request_id, out.number, ending, note, load)
+            self.told.attempt_ended(out.job.request_id, out.number, ending, note, load)
 
         self.fleet.sim.after(WIRE, arrive)
 
--- a/yewlab/levels.py
+++ b/yewlab/levels.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 from hopshed.interface import Role
-from yewhook.levels.governor import LOOK
-from yewhook.levels.ladder import Ladder
+from yewhook.levels.governor import EVALUATION_INTERVAL_S
 from yewhook.levels.level import Level, Signals
-from yewhook.levels.settings import LevelsSettings, Mode
+from yewhook.levels.level_state import LevelStateMachine
+from yewhook.levels.settings import Mode, ServiceLevelSettings
 
 from . import site
 from .fleet import Fleet
@@ -27,8 +27,8 @@
 from .simulation import Simulation
 from .workload import Clients, Tally
 
-ON = LevelsSettings(mode=Mode.ON)
-OFF = LevelsSettings(mode=Mode.OFF)
+ON = ServiceLevelSettings(mode=Mode.ON)
+OFF = ServiceLevelSettings(mode=Mode.OFF)
 CHANGES_MOST = 4  # at each threshold, in ten minutes
 GAIN_LEAST = 0.10  # of the top class, where capacity falls
 SWING, NOISE = 0.12, 0.15  # part of the threshold, and of the rate
@@ -76,7 +76,7 @@
     """A fleet, one router and its clients on virtual time."""
 
     seed: str
-    levels: LevelsSettings
+    levels: ServiceLevelSettings
     servers: dict[Role, int]
     quota: float
     sim: Simulation = field(init=False)
@@ -92,7 +92,7 @@
             for _ in range(count):
                 self.fleet.add(site.ENGINES[role])
         self.hosted = host(self.sim, self.fleet, settings, self.levels, Random(self.seed).getrandbits(32))
-        self.fleet.join(0, self.hosted.router.listed)
+        self.fleet.join(0, self.hosted.router.servers_listed)
 
     def clients(
         self, rate: Callable[[float], float], until: float, phase: Callable[[float], str] = lambda now: "run"
@@ -153,17 +153,18 @@
 
 
 def swing_signal(level: Level, name: str, seed: int, seconds: float) -> Swing:
-    """Swing one signal by itself round its threshold, as the ladder sees it; noise comes unsmoothed."""
+    """Swing one signal by itself round its threshold, as the level state machine sees it; noise comes
+    unsmoothed."""
     threshold = ON.levels[level].conditions[name].enter
     random = Random(f"signal {seed} {level.label} {name}")
     wave = _wave(random)
-    ladder = Ladder(ON, random.random(), 0.0)
+    level_state = LevelStateMachine(ON, random.random(), 0.0)
     changes, seen = 0, []
-    for look in range(int(seconds / LOOK)):
-        now = look * LOOK
+    for look in range(int(seconds / EVALUATION_INTERVAL_S)):
+        now = look * EVALUATION_INTERVAL_S
         swung = max(0.0, wave(now) + random.gauss(0.0, NOISE))
         seen.append(swung)
-        changes += ladder.step(now, Signals(**{name: threshold * swung})) is not None
+        changes += level_state.step(now, Signals(**{name: threshold * swung})) is not None
     return Swing(f"{level.label}.{name}", changes, _crossings(seen), sum(seen) / len(seen))
 
 
@@ -177,7 +178,7 @@
     return sum((a < 1.0) != (b < 1.0) for a, b in pairwise(ratios))
 
 
-def fall(levels: LevelsSettings, seed: int, seconds: float) -> Fall:
+def fall(levels: ServiceLevelSettings, seed: int, seconds: float) -> Fall:
     """The fleet loses two fifths of each role after a fifth of the time, and gets them back cold near the
     end."""
     run = Run(f"fall {seed}", levels, FALLING, quota=FULL_RATE * 1.3)
@@ -198,7 +199,9 @@
         for second in range(0, int(seconds), 2):
             sim.at(
                 began + second,
-                lambda: samples.append((sim.now - began, governor.signals.load, int(governor.ladder.level))),
+                lambda: samples.append(
+                    (sim.now - began, governor.signals.load, int(governor.level_state.level))
+                ),
             )
     clients = run.clients(lambda now: FULL_RATE, end, phase)
     sim.run(end + AFTER)
