--- a/tests/levels/test_in_the_lab.py
+++ b/tests/levels/test_in_the_lab.py
@@ -161,7 +161,7 @@
         run = Run(f"together {seed}", ON, FLEET, quota=20.0)
         governor = run.hosted.governor
         assert governor is not None
-        left.add(round(governor.level_state.wait(Level.GUARDED), 1))
+        left.add(round(governor.level_state.required_calm(Level.GUARDED), 1))
     assert len(left) == 6 and min(left) >= ON.leave_after
 
 
--- a/tests/levels/test_level_state.py
+++ b/tests/levels/test_level_state.py
@@ -1,4 +1,4 @@
-"""The level state machine: fast down, slow up, later after each failed leave, never by more than it sees."""
+"""The level state machine: quick to a worse level, slow to a better one, with backoff after failed leaves."""
 
 from __future__ import annotations
 
@@ -12,152 +12,158 @@
 from yewhook.levels.level_state import Change, LevelStateMachine, Pin
 from yewhook.levels.settings import LevelSettings, Mode, ServiceLevelSettings, Threshold
 
-S = ServiceLevelSettings(mode=Mode.ON, leave_spread=0.0)
-LOOK = 0.25
+SETTINGS = ServiceLevelSettings(mode=Mode.ON, leave_spread=0.0)
+STEP_S = 0.25
 
 
-class Walk:
-    """A level state machine that is shown signals look by look."""
+class Stepper:
+    """Steps a level state machine through virtual time and records its changes."""
 
-    def __init__(self, settings: ServiceLevelSettings = S, spread: float = 0.0) -> None:
+    def __init__(self, settings: ServiceLevelSettings = SETTINGS, spread: float = 0.0) -> None:
         self.level_state, self.now = LevelStateMachine(settings, spread, 0.0), 0.0
         self.changes: list[Change] = []
 
-    def show(self, seconds: float, **signals: float) -> Level:
-        for _ in range(round(seconds / LOOK)):
-            self.now += LOOK
+    def run(self, seconds: float, **signals: float) -> Level:
+        """Evaluates the same signals for so long. Returns the level at the end."""
+        for _ in range(round(seconds / STEP_S)):
+            self.now += STEP_S
             change = self.level_state.step(self.now, Signals(**signals))
             self.changes += [change] if change is not None else []
         return self.level_state.level
 
 
 def test_a_condition_is_confirmed_before_its_level_is_entered() -> None:
-    walk = Walk()
-    assert walk.show(1.5, load=1.05) is Level.FULL
-    assert walk.show(0.5, load=0.9) is Level.FULL
-    assert walk.show(1.5, load=1.05) is Level.FULL  # the first stretch no longer counts
-    assert walk.show(1.0, load=1.05) is Level.GUARDED
-    change = walk.changes[0]
+    stepper = Stepper()
+    assert stepper.run(1.5, load=1.05) is Level.FULL
+    assert stepper.run(0.5, load=0.9) is Level.FULL
+    assert stepper.run(1.5, load=1.05) is Level.FULL  # the first 1.5 seconds no longer count
+    assert stepper.run(1.0, load=1.05) is Level.GUARDED
+    change = stepper.changes[0]
     assert (change.condition, change.value, change.threshold) == ("load", 1.05, 1.0)
 
 
-def test_two_thresholds_crossed_at_once_lead_straight_to_the_worse() -> None:
-    walk = Walk()
-    assert walk.show(3.0, load=1.3, descriptors=0.9) is Level.ESSENTIAL
-    assert [(c.before, c.after) for c in walk.changes] == [(Level.FULL, Level.ESSENTIAL)]
+def test_two_thresholds_exceeded_at_once_enter_the_worse_level_directly() -> None:
+    stepper = Stepper()
+    assert stepper.run(3.0, load=1.3, descriptors=0.9) is Level.ESSENTIAL
+    assert [(c.before, c.after) for c in stepper.changes] == [(Level.FULL, Level.ESSENTIAL)]
 
 
-def test_up_goes_one_level_at_a_time_and_only_after_calm() -> None:
-    walk = Walk()
-    walk.show(3.0, load=1.3)
-    assert walk.show(S.leave_after - 1.0, load=0.1) is Level.ESSENTIAL
-    walk.show(0.25, load=1.1)  # not calm for a moment: it begins anew
-    assert walk.show(S.leave_after - 1.0, load=0.1) is Level.ESSENTIAL
-    assert walk.show(2.0, load=0.1) is Level.THRIFTY
-    assert walk.show(S.leave_after + 1.0, load=0.1) is Level.GUARDED
-    assert walk.show(S.leave_after + 1.0, load=0.1) is Level.FULL
-    assert [c.condition for c in walk.changes] == ["load", "calm", "calm", "calm"]
+def test_levels_improve_one_at_a_time_and_only_after_calm() -> None:
+    stepper = Stepper()
+    stepper.run(3.0, load=1.3)
+    assert stepper.run(SETTINGS.leave_after - 1.0, load=0.1) is Level.ESSENTIAL
+    stepper.run(0.25, load=1.1)  # the calm is interrupted and starts again
+    assert stepper.run(SETTINGS.leave_after - 1.0, load=0.1) is Level.ESSENTIAL
+    assert stepper.run(2.0, load=0.1) is Level.THRIFTY
+    assert stepper.run(SETTINGS.leave_after + 1.0, load=0.1) is Level.GUARDED
+    assert stepper.run(SETTINGS.leave_after + 1.0, load=0.1) is Level.FULL
+    assert [c.condition for c in stepper.changes] == ["load", "calm", "calm", "calm"]
 
 
-def test_between_the_thresholds_nothing_changes() -> None:
-    walk = Walk()
-    walk.show(3.0, load=1.02)
-    assert walk.show(2000.0, load=0.9) is Level.GUARDED
+def test_a_signal_between_leave_and_enter_keeps_the_level() -> None:
+    stepper = Stepper()
+    stepper.run(3.0, load=1.02)
+    assert stepper.run(2000.0, load=0.9) is Level.GUARDED
 
 
-def test_a_leave_that_failed_is_tried_later_each_time_up_to_a_bound() -> None:
-    walk = Walk()
-    waits = []
+def test_each_failed_leave_raises_the_calm_required_up_to_a_bound() -> None:
+    stepper = Stepper()
+    required = []
     for _ in range(4):
-        walk.show(3.0, load=1.02)
-        assert walk.show(0.25, load=1.02) is Level.GUARDED
-        waits.append(walk.level_state.wait(Level.GUARDED))
-        while walk.level_state.level is not Level.FULL:
-            walk.show(1.0, load=0.1)
-    assert waits == [60.0, 240.0, 300.0, 300.0]
-    walk.show(2000.0, load=0.1)
-    walk.show(3.0, load=1.02)
-    assert walk.level_state.wait(Level.GUARDED) < 300.0  # and a good stay shortens it again
-
-
-def test_routers_of_other_seeds_leave_at_other_times() -> None:
-    spread = replace(S, leave_spread=0.5)
-    left = set()
+        stepper.run(3.0, load=1.02)
+        assert stepper.run(0.25, load=1.02) is Level.GUARDED
+        required.append(stepper.level_state.required_calm(Level.GUARDED))
+        while stepper.level_state.level is not Level.FULL:
+            stepper.run(1.0, load=0.1)
+    assert required == [60.0, 240.0, 300.0, 300.0]
+    stepper.run(2000.0, load=0.1)
+    stepper.run(3.0, load=1.02)
+    # Lowered, since the level was not entered again soon after it was left
+    assert stepper.level_state.required_calm(Level.GUARDED) < 300.0
+
+
+def test_routers_with_different_spreads_leave_at_different_times() -> None:
+    spread = replace(SETTINGS, leave_spread=0.5)
+    left_at = set()
     for n in range(5):
-        walk = Walk(spread, n / 4)
-        walk.show(3.0, load=1.02)
-        while walk.level_state.level is not Level.FULL:
-            walk.show(0.25, load=0.1)
-        left.add(walk.now)
-    assert len(left) == 5 and max(left) - min(left) >= 25.0
-
-
-def test_a_pause_of_the_process_is_neither_calm_nor_confirmation() -> None:
-    walk = Walk()
-    walk.show(3.0, load=1.02)
-    walk.now += 500.0
-    assert walk.show(1.0, load=0.1) is Level.GUARDED  # it was not seen to be calm for those 500 s
-    walk = Walk()
-    walk.show(0.25, load=3.0)
-    walk.now += 500.0
-    assert walk.show(1.0, load=3.0) is Level.FULL
-
-
-def test_a_file_with_fewer_levels_moves_to_the_next_better_one() -> None:
-    walk = Walk()
-    walk.show(3.0, load=1.3)
-    fewer = replace(S, levels={level: S.levels[level] for level in (Level.GUARDED, Level.LAST_RESORT)})
-    change = walk.level_state.configure(fewer, walk.now)
+        stepper = Stepper(spread, n / 4)
+        stepper.run(3.0, load=1.02)
+        while stepper.level_state.level is not Level.FULL:
+            stepper.run(0.25, load=0.1)
+        left_at.add(stepper.now)
+    assert len(left_at) == 5 and max(left_at) - min(left_at) >= 25.0
+
+
+def test_a_stall_of_the_process_counts_neither_as_calm_nor_as_confirmation() -> None:
+    stepper = Stepper()
+    stepper.run(3.0, load=1.02)
+    stepper.now += 500.0
+    assert stepper.run(1.0, load=0.1) is Level.GUARDED  # no calm was observed in those 500 s
+    stepper = Stepper()
+    stepper.run(0.25, load=3.0)
+    stepper.now += 500.0
+    assert stepper.run(1.0, load=3.0) is Level.FULL
+
+
+def test_a_level_that_is_no_longer_configured_becomes_the_next_better_one() -> None:
+    stepper = Stepper()
+    stepper.run(3.0, load=1.3)
+    fewer = replace(
+        SETTINGS, levels={level: SETTINGS.levels[level] for level in (Level.GUARDED, Level.LAST_RESORT)}
+    )
+    change = stepper.level_state.configure(fewer, stepper.now)
     assert change is not None and change.condition == "configuration"
-    assert walk.level_state.level is Level.GUARDED
-    assert walk.show(10.0, load=1.3) is Level.GUARDED
-    assert walk.show(S.leave_after + 1.0, load=0.1) is Level.FULL
-    assert walk.level_state.configure(fewer, walk.now) is None
+    assert stepper.level_state.level is Level.GUARDED
+    assert stepper.run(10.0, load=1.3) is Level.GUARDED
+    assert stepper.run(SETTINGS.leave_after + 1.0, load=0.1) is Level.FULL
+    assert stepper.level_state.configure(fewer, stepper.now) is None
 
 
-def test_a_pin_holds_whatever_is_seen_and_ends_by_itself() -> None:
-    walk = Walk()
-    walk.level_state.set_pin(Pin(Level.THRIFTY, 30.0, "drill"))
-    assert walk.show(29.0, load=3.0) is Level.THRIFTY
-    assert walk.show(2.0, load=0.1) is Level.THRIFTY  # ended, and left slowly like any other
-    assert walk.level_state.pin is None
-    assert [c.condition for c in walk.changes] == ["pinned", "pin ended"]
-    assert walk.show(S.leave_after + 2.0, load=0.1) is Level.GUARDED
-    walk.level_state.set_pin(Pin(Level.ESSENTIAL, 1e9, "drill"))
-    walk.show(1.0)
-    walk.level_state.set_pin(None)
-    walk.show(0.5)
-    assert walk.level_state.pin is None
+def test_a_pin_holds_its_level_whatever_the_signals_and_expires() -> None:
+    stepper = Stepper()
+    stepper.level_state.set_pin(Pin(Level.THRIFTY, 30.0, "drill"))
+    assert stepper.run(29.0, load=3.0) is Level.THRIFTY
+    assert stepper.run(2.0, load=0.1) is Level.THRIFTY  # the pin expired; the level is left slowly as usual
+    assert stepper.level_state.pin is None
+    assert [c.condition for c in stepper.changes] == ["pinned", "pin ended"]
+    assert stepper.run(SETTINGS.leave_after + 2.0, load=0.1) is Level.GUARDED
+    stepper.level_state.set_pin(Pin(Level.ESSENTIAL, 1e9, "drill"))
+    stepper.run(1.0)
+    stepper.level_state.set_pin(None)
+    stepper.run(0.5)
+    assert stepper.level_state.pin is None
 
 
-values = st.floats(0.0, 4.0)
-some = st.fixed_dictionaries({name: values for name in SIGNALS})
-steps = st.lists(st.tuples(some, st.integers(1, 40)), min_size=1, max_size=12)
+signal_values = st.floats(0.0, 4.0)
+signal_sets = st.fixed_dictionaries({name: signal_values for name in SIGNALS})
+histories = st.lists(st.tuples(signal_sets, st.integers(1, 40)), min_size=1, max_size=12)
 
 
 @settings(max_examples=60, deadline=None)
-@given(steps, some, some)
-def test_a_better_sight_never_leads_to_a_worse_level(
+@given(histories, signal_sets, signal_sets)
+def test_lower_signals_never_lead_to_a_worse_level(
     before: list[tuple[dict[str, float], int]], one: dict[str, float], other: dict[str, float]
 ) -> None:
     better = {name: min(one[name], other[name]) for name in SIGNALS}
-    walks = Walk(), Walk()
-    for walk in walks:
-        for signals, looks in before:
-            walk.show(looks * LOOK, **signals)
-    assert walks[0].show(100.0, **better) <= walks[1].show(100.0, **one)
+    steppers = Stepper(), Stepper()
+    for stepper in steppers:
+        for signals, steps in before:
+            stepper.run(steps * STEP_S, **signals)
+    assert steppers[0].run(100.0, **better) <= steppers[1].run(100.0, **one)
 
 
 @settings(max_examples=40, deadline=None)
-@given(steps)
-def test_the_level_depends_on_what_is_seen_and_on_nothing_else(
-    seen: list[tuple[dict[str, float], int]],
+@given(histories)
+def test_the_level_depends_on_the_signals_alone(
+    history: list[tuple[dict[str, float], int]],
 ) -> None:
-    walks = Walk(), Walk()
-    for signals, looks in seen:
-        assert walks[0].show(looks * LOOK, **signals) is walks[1].show(looks * LOOK, **signals)
-    assert walks[0].changes == walks[1].changes
-    for change in walks[0].changes:  # up by one, and never for a signal that is over its threshold
+    steppers = Stepper(), Stepper()
+    for signals, steps in history:
+        assert steppers[0].run(steps * STEP_S, **signals) is steppers[1].run(steps * STEP_S, **signals)
+    assert steppers[0].changes == steppers[1].changes
+    for change in steppers[
+        0
+    ].changes:  # better by one level after calm, or worse for a signal over its threshold
         if change.after < change.before:
             assert change.after == change.before - 1 and change.condition == "calm"
         else:
@@ -165,7 +171,7 @@
 
 
 @pytest.mark.parametrize(
-    ("settings", "complaint"),
+    ("settings", "message"),
     [
         (
             {"levels": {Level.GUARDED: LevelSettings({"load": Threshold(1.0, 1.0)})}},
@@ -178,6 +184,6 @@
         ({"leave_after": 200.0, "leave_most": 100.0}, "levels.leave_most: got 100, expected 200"),
     ],
 )
-def test_settings_that_make_no_sense_are_refused(settings: dict[str, object], complaint: str) -> None:
-    with pytest.raises(ValueError, match=complaint):
+def test_invalid_settings_are_rejected(settings: dict[str, object], message: str) -> None:
+    with pytest.raises(ValueError, match=message):
         ServiceLevelSettings(**settings)  # type: ignore[arg-type]
--- a/yewhook/levels/__init__.py
+++ b/yewhook/levels/__init__.py
@@ -1,6 +1,5 @@
-"""Named levels of reduced service: what is observed, which level that calls for, and what the level admits.
+"""Graceful degradation: named levels of reduced service, the signals that select one, and what it admits.
 
-Nothing here opens, reads or waits for anything, and no clock is kept: all comes in with its time. The
-decision module still refuses; it is told the share of turns like the one at hand that there is room for, and
-no more.
+The package does no I/O and reads no clock: each call is given its events and the current time. The decision
+module still refuses requests itself; it is told only which share of the turns like an arriving one to admit.
 """
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -17,7 +17,7 @@
 from .discovery_health import DiscoveryHealth
 from .estimators import DecayingRate, DecayingRatio, Mean, Quantiles
 from .level import LEVEL_DESCRIPTIONS, Level, ProcessHealth, Signals
-from .level_state import PAUSE, Change, LevelStateMachine, Pin
+from .level_state import MAX_EVALUATION_GAP_S, Change, LevelStateMachine, Pin
 from .settings import Mode, ServiceLevelSettings
 from .turns import RefusalLoss, Turn, TurnKind, Turns, top_classes
 
@@ -78,7 +78,7 @@
 
     def filter_events(self, now: float, events: Sequence[i.Event], sight: Sight) -> list[i.Event]:
         """What the module is to hear: the turns' events, with what there is room for of each that arrived."""
-        if now - self._last > PAUSE:
+        if now - self._last > MAX_EVALUATION_GAP_S:
             self._after_pause(now)
         self._last = now
         out: list[i.Event] = []
@@ -258,7 +258,7 @@
         event = i.ServiceLevel()
         if level is not Level.FULL and settings.mode is Mode.ON:
             # Once calm it holds turns again: the long wait that leaving takes need not be paid for in full.
-            certain = level is Level.LAST_RESORT and not self.level_state.calm
+            certain = level is Level.LAST_RESORT and not self.level_state.is_calm
             event = i.ServiceLevel(level.label, settings.levels[level].retry_after, certain)
         if self.recovery is not None and self.recovery.active and not event.certain:
             event = self.recovery.service_level(now)
--- a/yewhook/levels/level.py
+++ b/yewhook/levels/level.py
@@ -1,4 +1,4 @@
-"""The levels by name, and the signals by which they are entered and left."""
+"""The levels of service, and the signals that decide which one applies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Level(IntEnum):
-    """From the best to the worst; each gives up all that the better ones do, and more."""
+    """Levels of service from best to worst; each sheds all that the better ones shed, and more."""
 
     FULL = 0
     GUARDED = 1
@@ -18,48 +18,50 @@
 
     @property
     def label(self) -> str:
-        """The name as operators read and write it."""
+        """The name in settings, reports and logs, as in `last-resort`."""
         return self.name.lower().replace("_", "-")
 
     @classmethod
     def from_label(cls, label: str) -> Level:
-        """Raises KeyError for a name that no level has."""
+        """The level with this label. Raises KeyError if there is none."""
         return {level.label: level for level in cls}[label]
 
 
+# One line on each level for operators, shown in reports and by the command line
 LEVEL_DESCRIPTIONS = {
-    Level.FULL: "nothing gives way",
-    Level.GUARDED: "traffic beyond a client's share and clients' own repeats give way, as far as load asks",
-    Level.THRIFTY: "work beyond a share is refused; long turns of the lesser classes give way as far as load "
-    "asks",
-    Level.ESSENTIAL: "of the lesser classes all new turns give way as far as load asks; the class of the "
-    "highest worth, sessions under way and streams that come back stay",
-    Level.LAST_RESORT: "what is under way is finished; nothing new starts unless it finds room at once",
+    Level.FULL: "no turns are shed",
+    Level.GUARDED: "turns beyond a client's share and clients' own retries are shed as far as load requires",
+    Level.THRIFTY: "all turns beyond a client's share are refused; long turns of the lower-worth classes are "
+    "shed as far as load requires",
+    Level.ESSENTIAL: "all new turns of the lower-worth classes are shed as far as load requires; the class "
+    "of the highest worth, open sessions and resumed streams are kept",
+    Level.LAST_RESORT: "requests in progress are finished; a new one starts only if there is room at once",
 }
 
 
 class ProcessHealth(NamedTuple):
-    """What the process knows of itself and of the register; parts of limits, and seconds."""
+    """Resource use of the process, and the age of its service discovery."""
 
-    descriptors: float = 0.0
-    memory: float = 0.0
-    discovery_age: float = 0.0
+    descriptors: float = 0.0  # in use, as a share of the configured limit
+    memory: float = 0.0  # resident, as a share of the configured limit
+    discovery_age: float = 0.0  # s since the last message from service discovery
 
 
 @dataclass(frozen=True, slots=True)
 class Signals:
-    """What the levels are judged by at one moment. Of each, 0 is best and more is worse."""
+    """The measurements that decide the level at one moment. 0 is best for each; higher is worse."""
 
-    load: float = 0.0  # work that came over what can be done of it, at the scarcer of reading and writing
-    late: float = 0.0  # worth answered after its aim, or refused for want of room or time, over what came
+    load: float = 0.0  # work requested over the work possible at the scarcer of reading and writing
+    late: float = 0.0  # worth answered after its aim, or refused for lack of room or time, over all worth
     waiting: float = 0.0  # 90th percentile of turns' wait for their first send, over their aim
-    missing: float = 0.0  # part of a role's listed servers that is out of use or cold; the worse stage
-    doubt: float = 0.0  # part of the running servers that sockets contradict, more with an old register
+    missing: float = 0.0  # share of a role's listed servers that is unusable or cold; the worse stage counts
+    doubt: float = 0.0  # share of running servers that connections contradict; higher with a stale list
     lost: float = 0.0  # streams that broke over streams that began
-    descriptors: float = 0.0  # in use, of the configured limit
-    memory: float = 0.0  # resident, of the configured limit
+    descriptors: float = 0.0  # in use, as a share of the configured limit
+    memory: float = 0.0  # resident, as a share of the configured limit
 
     def value(self, name: str) -> float:
+        """The signal with this field name."""
         return float(getattr(self, name))
 
 
--- a/yewhook/levels/level_state.py
+++ b/yewhook/levels/level_state.py
@@ -1,4 +1,8 @@
-"""Which level: fast down, slow up, one level up at a time, and later each time after a leave that failed."""
+"""The state machine of the levels: quick to a worse level, slow to a better one, with backoff.
+
+A worse level is entered directly, whichever it is; a better one is reached one level at a time. Each time a
+level was left too early, more calm is required before it is left again.
+"""
 
 from __future__ import annotations
 
@@ -8,127 +12,134 @@
 from .level import Level, Signals
 from .settings import ServiceLevelSettings
 
-PAUSE = 3.0  # s between two looks after which the process must have stood still
+MAX_EVALUATION_GAP_S = 3.0  # after a longer gap between two evaluations the process must have been stalled
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of level, with the condition that brought it about."""
+    """One change of level, and the condition that caused it."""
 
     before: Level
     after: Level
-    condition: str  # the signal, `calm`, `pinned`, `pin ended` or `configuration`
-    value: float  # of the signal
-    threshold: float  # that it passed
-    lasted: float  # s that the level before lasted
+    condition: str  # a signal's name, `calm`, `pinned`, `pin ended` or `configuration`
+    value: float  # of the signal; s of calm; s until the pin ends
+    threshold: float  # that the value reached; 0 where there is none
+    duration_s: float  # time spent in the level before
 
 
 @dataclass(frozen=True, slots=True)
 class Pin:
+    """A level that an operator holds, whatever the signals."""
+
     level: Level
-    until: float
+    until: float  # s, on the clock of the state machine
     reason: str
 
 
 class LevelStateMachine:
-    """The state between looks. `spread` in 0 to 1 is drawn by the router's seed."""
+    """The current level and the history that decides when it changes.
+
+    `spread` between 0 and 1 extends the calm required, drawn from the router's seed.
+    """
 
     def __init__(self, settings: ServiceLevelSettings, spread: float, now: float) -> None:
         self.settings, self._spread = settings, spread
         self.level, self.since = Level.FULL, now
         self.pin: Pin | None = None
-        self._looked = now
-        self._over: dict[Level, float] = {}  # since when one of a level's conditions is at its threshold
-        self._calm: float | None = None  # since when all of this level's are below what it is left at
-        self._left: dict[Level, float] = {}  # when a level was last left for a better one
-        self._backoff: dict[Level, float] = {}
+        self._evaluated_at = now
+        self._exceeded_since: dict[Level, float] = {}  # when a condition of the level reached its threshold
+        self._calm_since: float | None = None  # when all conditions of the current level fell below `leave`
+        self._left_at: dict[Level, float] = {}  # when a level was last left for a better one
+        self._backoff: dict[Level, float] = {}  # factor on the calm required to leave a level
 
     @property
-    def calm(self) -> bool:
-        """Whether all that this level is left at holds at present, if not yet for long."""
-        return self._calm is not None
+    def is_calm(self) -> bool:
+        """Whether all conditions of the current level are below their `leave`, for however short a time."""
+        return self._calm_since is not None
 
-    def wait(self, level: Level) -> float:
-        """s of calm that leaving this level takes at present."""
+    def required_calm(self, level: Level) -> float:
+        """Seconds of calm that are now required to leave this level."""
         s = self.settings
-        first = s.leave_after * (1.0 + s.leave_spread * self._spread)
-        return min(s.leave_most, first * self._backoff.get(level, 1.0))
+        base = s.leave_after * (1.0 + s.leave_spread * self._spread)
+        return min(s.leave_most, base * self._backoff.get(level, 1.0))
 
     def step(self, now: float, signals: Signals) -> Change | None:
-        """Look once; the change that this look brings, if any."""
-        paused, self._looked = now - self._looked > PAUSE, now
-        if paused:  # what was seen before it says nothing of now, and no calm was seen meanwhile
-            self._over, self._calm = {}, None
+        """Evaluates the signals once. Returns the change of level that they cause, if any."""
+        stalled, self._evaluated_at = now - self._evaluated_at > MAX_EVALUATION_GAP_S, now
+        if stalled:  # earlier signals are out of date, and calm was not observed during the stall
+            self._exceeded_since, self._calm_since = {}, None
         if self.pin is not None:
-            return self._pinned(now, self.pin)
-        return self._down(now, signals) or self._up(now, signals)
+            return self._apply_pin(now, self.pin)
+        return self._degrade(now, signals) or self._improve(now, signals)
 
-    def _down(self, now: float, signals: Signals) -> Change | None:
+    def _degrade(self, now: float, signals: Signals) -> Change | None:
         for level in reversed(self.settings.known[1:]):
-            found = self._entered(level, signals)
+            found = self._exceeded_condition(level, signals)
             if found is None:
-                self._over.pop(level, None)
+                self._exceeded_since.pop(level, None)
                 continue
-            began = self._over.setdefault(level, now)
+            began = self._exceeded_since.setdefault(level, now)
             if level > self.level and now - began >= self.settings.confirm:
                 for worse in range(self.level + 1, level + 1):
-                    self._relapsed(Level(worse), now)
-                return self._to(level, now, *found)
+                    self._update_backoff(Level(worse), now)
+                return self._change_to(level, now, *found)
         return None
 
-    def _entered(self, level: Level, signals: Signals) -> tuple[str, float, float] | None:
-        """The condition of a level that is furthest over its threshold."""
+    def _exceeded_condition(self, level: Level, signals: Signals) -> tuple[str, float, float] | None:
+        """The condition of a level that exceeds its threshold most: its name, value and threshold."""
         conditions = self.settings.levels[level].conditions
-        over = [(signals.value(name) / limit.enter, name, limit.enter) for name, limit in conditions.items()]
-        ratio, name, enter = max(over)
+        ratios = [
+            (signals.value(name) / limit.enter, name, limit.enter) for name, limit in conditions.items()
+        ]
+        ratio, name, enter = max(ratios)
         return (name, signals.value(name), enter) if ratio >= 1.0 else None
 
-    def _relapsed(self, level: Level, now: float) -> None:
-        """Entered again: soon after it was left, the next leave takes longer; else a step less long than
-        before."""
-        by, backoff = self._backoff.get(level, 1.0), self.settings.backoff
-        failed = now - self._left.get(level, -math.inf) < self.settings.relapse + self.wait(level)
+    def _update_backoff(self, level: Level, now: float) -> None:
+        """On entering a level: raises its backoff if it was left only recently, and lowers it otherwise."""
+        factor, backoff = self._backoff.get(level, 1.0), self.settings.backoff
+        failed = now - self._left_at.get(level, -math.inf) < self.settings.relapse + self.required_calm(level)
         most = self.settings.leave_most / max(self.settings.leave_after, 1e-9)
-        self._backoff[level] = min(by * backoff, most) if failed else max(1.0, by / backoff)
+        self._backoff[level] = min(factor * backoff, most) if failed else max(1.0, factor / backoff)
 
-    def _up(self, now: float, signals: Signals) -> Change | None:
+    def _improve(self, now: float, signals: Signals) -> Change | None:
         if self.level is Level.FULL:
             return None
         conditions = self.settings.levels[self.level].conditions
         if any(signals.value(name) >= limit.leave for name, limit in conditions.items()):
-            self._calm = None
+            self._calm_since = None
             return None
-        calm = self._calm = now if self._calm is None else self._calm
-        if now - calm < self.wait(self.level) or now - self.since < self.settings.least_stay:
+        calm_since = self._calm_since = now if self._calm_since is None else self._calm_since
+        if now - calm_since < self.required_calm(self.level) or now - self.since < self.settings.least_stay:
             return None
-        self._left[self.level] = now
+        self._left_at[self.level] = now
         better = max(level for level in self.settings.known if level < self.level)
-        return self._to(better, now, "calm", now - calm, self.wait(self.level))
+        return self._change_to(better, now, "calm", now - calm_since, self.required_calm(self.level))
 
-    def _to(self, level: Level, now: float, condition: str, value: float, threshold: float) -> Change:
+    def _change_to(self, level: Level, now: float, condition: str, value: float, threshold: float) -> Change:
         change = Change(self.level, level, condition, value, threshold, now - self.since)
-        self.level, self.since, self._calm = level, now, None
+        self.level, self.since, self._calm_since = level, now, None
         return change
 
     # ---- operators ----
 
     def set_pin(self, pin: Pin | None) -> None:
-        """Hold a level until a time, whatever is seen; None ends it at the next look."""
+        """Holds a level until a given time, whatever the signals; None ends the pin at the next step."""
         if pin is None and self.pin is not None:
             pin = replace(self.pin, until=-math.inf)
         self.pin = pin
 
-    def _pinned(self, now: float, pin: Pin) -> Change | None:
+    def _apply_pin(self, now: float, pin: Pin) -> Change | None:
         level = self.settings.nearest(pin.level)
         if now >= pin.until:
-            self.pin, self._over = None, {}
+            self.pin, self._exceeded_since = None, {}
             return Change(self.level, self.level, "pin ended", 0.0, 0.0, now - self.since)
-        return self._to(level, now, "pinned", pin.until - now, 0.0) if level is not self.level else None
+        return (
+            self._change_to(level, now, "pinned", pin.until - now, 0.0) if level is not self.level else None
+        )
 
     def configure(self, settings: ServiceLevelSettings, now: float) -> Change | None:
-        """Go on by other settings; a level that they don't have becomes the next better one that they
-        have."""
-        self.settings, self._over = settings, {}
-        self._backoff = {level: by for level, by in self._backoff.items() if level in settings.levels}
+        """Replaces the settings. A level that they do not configure becomes the next better one."""
+        self.settings, self._exceeded_since = settings, {}
+        self._backoff = {level: factor for level, factor in self._backoff.items() if level in settings.levels}
         level = settings.nearest(self.level)
-        return self._to(level, now, "configuration", 0.0, 0.0) if level is not self.level else None
+        return self._change_to(level, now, "configuration", 0.0, 0.0) if level is not self.level else None
--- a/yewhook/levels/settings.py
+++ b/yewhook/levels/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the levels: thresholds, times and shares, with what holds between them."""
+"""Settings of the levels of service: thresholds, times and shares, and the checks on them."""
 
 from __future__ import annotations
 
@@ -10,36 +10,42 @@
 
 
 class Mode(Enum):
-    OFF = "off"  # nothing is observed; the router is as it was without levels
-    WATCH = "watch"  # levels are judged and shown, and nothing gives way
+    """What the levels of service do."""
+
+    OFF = "off"  # no signals are measured; the router runs without levels
+    WATCH = "watch"  # levels are computed and reported, but nothing is shed
     ON = "on"
 
 
 @dataclass(frozen=True, slots=True)
 class Threshold:
-    enter: float  # at or above it, for `confirm`, the level is entered
-    leave: float  # below it the level may be left
+    """A condition on one signal, with hysteresis."""
+
+    enter: float  # the level is entered when the signal stays at or above this for `confirm` seconds
+    leave: float  # the level may be left while the signal is below this
 
 
 @dataclass(frozen=True, slots=True)
 class LevelSettings:
-    """One level's conditions: any one enters it, and all of them must be calm before it is left."""
+    """Conditions of one level: any one enters it, and all must be below `leave` before it is left."""
 
-    conditions: Mapping[str, Threshold]  # by signal
-    retry_after: tuple[float, float] = (0.3, 0.8)  # s, least and most advice to clients
+    conditions: Mapping[str, Threshold]  # by signal name
+    retry_after: tuple[float, float] = (0.3, 0.8)  # s, shortest and longest advice to refused clients
 
 
-def _defaults() -> dict[Level, LevelSettings]:
-    at = Threshold
+def _default_levels() -> dict[Level, LevelSettings]:
+    limit = Threshold
     guarded = {
-        "load": at(1.0, 0.85), "late": at(0.25, 0.05), "waiting": at(0.6, 0.2), "doubt": at(0.4, 0.15),
-        "lost": at(0.3, 0.1), "descriptors": at(0.85, 0.7), "memory": at(0.8, 0.7),
+        "load": limit(1.0, 0.85), "late": limit(0.25, 0.05), "waiting": limit(0.6, 0.2),
+        "doubt": limit(0.4, 0.15), "lost": limit(0.3, 0.1), "descriptors": limit(0.85, 0.7),
+        "memory": limit(0.8, 0.7),
     }  # fmt: skip
     thrifty = {
-        "load": at(1.1, 0.95), "late": at(0.5, 0.1), "descriptors": at(0.93, 0.8), "memory": at(0.88, 0.8),
+        "load": limit(1.1, 0.95), "late": limit(0.5, 0.1), "descriptors": limit(0.93, 0.8),
+        "memory": limit(0.88, 0.8),
     }  # fmt: skip
-    essential = {"load": at(1.25, 1.05), "memory": at(0.93, 0.85)}
-    last_resort = {"load": at(2.5, 1.9), "missing": at(0.95, 0.7), "memory": at(0.97, 0.9)}
+    essential = {"load": limit(1.25, 1.05), "memory": limit(0.93, 0.85)}
+    last_resort = {"load": limit(2.5, 1.9), "missing": limit(0.95, 0.7), "memory": limit(0.97, 0.9)}
     return {
         Level.GUARDED: LevelSettings(guarded, (0.3, 0.8)),
         Level.THRIFTY: LevelSettings(thrifty, (0.5, 1.0)),
@@ -50,23 +56,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevelSettings:
-    """All about levels. Raises ValueError with the key, the value and what was expected."""
+    """All settings of the levels of service.
+
+    Raises ValueError with the key, the value and what was expected.
+    """
 
     mode: Mode = Mode.OFF
-    levels: Mapping[Level, LevelSettings] = field(default_factory=_defaults)
-    confirm: float = 2.0  # s that a condition must hold before its level is entered
+    levels: Mapping[Level, LevelSettings] = field(default_factory=_default_levels)
+    confirm: float = 2.0  # s for which a condition must hold before its level is entered
     least_stay: float = 5.0  # s in a level before it may be left for a better one
-    leave_after: float = 60.0  # s of calm before a level is left, times a spread drawn by the seed
-    leave_spread: float = 0.5  # part by which that is longer at most: routers are not to swing together
-    relapse: float = 300.0  # s after leaving a level in which a return counts as a failed leave
-    backoff: float = 4.0  # by so much longer is each leave's calm after a failed one
-    leave_most: float = 300.0  # s of calm that are asked for at most
-    target: float = 0.85  # part of what can be done that is aimed at while something gives way
-    long_turn: float = 1.5  # times its class's mean work, and a turn is a long one
+    leave_after: float = 60.0  # s of calm before a level is left, extended by the router's random spread
+    # Largest extension of `leave_after`, as a share of it: keeps routers from changing level in step
+    leave_spread: float = 0.5
+    relapse: float = 300.0  # s after leaving a level in which entering it again counts as a failed leave
+    backoff: float = 4.0  # factor on the calm required for the next leave after a failed one
+    leave_most: float = 300.0  # s, upper bound of the calm required
+    target: float = 0.85  # share of the capacity to use while turns are shed
+    long_turn: float = 1.5  # a turn is long above this multiple of its class's mean work
 
     def __post_init__(self) -> None:
-        for level, one in self.levels.items():
-            self._check(level, one)
+        for level, level_settings in self.levels.items():
+            self._check_level(level, level_settings)
         for name, least, most in (
             ("confirm", 0.0, 60.0), ("least_stay", 0.0, 3600.0), ("leave_after", 0.0, 3600.0),
             ("leave_spread", 0.0, 10.0), ("relapse", 0.0, 3600.0), ("backoff", 1.0, 100.0),
@@ -77,27 +87,27 @@
                 raise ValueError(f"levels.{name}: got {value:g}, expected {least:g} to {most:g}")
 
     @staticmethod
-    def _check(level: Level, one: LevelSettings) -> None:
-        where, names = f"levels.{level.label}", ", ".join(SIGNALS)
+    def _check_level(level: Level, level_settings: LevelSettings) -> None:
+        key, names = f"levels.{level.label}", ", ".join(SIGNALS)
         if level is Level.FULL:
-            raise ValueError(f"{where}: got conditions, expected none: it is what is left when none holds")
-        if not one.conditions:
-            raise ValueError(f"{where}: got no condition, expected at least one of {names}")
-        for name, limit in one.conditions.items():
+            raise ValueError(f"{key}: got conditions, expected none: it applies when no other level does")
+        if not level_settings.conditions:
+            raise ValueError(f"{key}: got no condition, expected at least one of {names}")
+        for name, limit in level_settings.conditions.items():
             if name not in SIGNALS:
-                raise ValueError(f"{where}.{name}: got an unknown signal, expected one of {names}")
+                raise ValueError(f"{key}.{name}: got an unknown signal, expected one of {names}")
             if not 0 <= limit.leave < limit.enter:
-                least = f"0 or more and less than enter ({limit.enter:g})"
-                raise ValueError(f"{where}.{name}.leave: got {limit.leave:g}, expected {least}")
-        if not 0 < one.retry_after[0] <= one.retry_after[1]:
-            given = list(one.retry_after)
-            raise ValueError(f"{where}.retry_after_s: got {given}, expected two times, the lesser first")
+                expected = f"0 or more and less than enter ({limit.enter:g})"
+                raise ValueError(f"{key}.{name}.leave: got {limit.leave:g}, expected {expected}")
+        if not 0 < level_settings.retry_after[0] <= level_settings.retry_after[1]:
+            given = list(level_settings.retry_after)
+            raise ValueError(f"{key}.retry_after_s: got {given}, expected two times, the smaller first")
 
     @property
     def known(self) -> tuple[Level, ...]:
-        """The levels in use, best first."""
+        """The configured levels, best first."""
         return (Level.FULL, *sorted(self.levels))
 
     def nearest(self, level: Level) -> Level:
-        """That level, or else the next better one in use."""
+        """The level itself if it is configured, otherwise the next better configured one."""
         return max(known for known in self.known if known <= level)
--- a/yewhook/service_level_admin.py
+++ b/yewhook/service_level_admin.py
@@ -88,13 +88,13 @@
         before, after = change.before.label, change.after.label
         self.log(
             "service level",
-            f"{before} to {after}: {why}; {before} lasted {change.lasted:.0f} s",
+            f"{before} to {after}: {why}; {before} lasted {change.duration_s:.0f} s",
             before=before,
             after=after,
             condition=change.condition,
             value=round(change.value, 4),
             threshold=change.threshold,
-            lasted_s=round(change.lasted, 1),
+            lasted_s=round(change.duration_s, 1),
         )
 
     @property
