--- a/yewhook/levels/admission.py
+++ b/yewhook/levels/admission.py
@@ -1,8 +1,8 @@
-"""How much of what comes is admitted at a level: by client first, then by worth for a unit of work.
+"""Which share of the demand a level admits: divided among clients first, then by worth per unit of work.
 
-The level says which kinds may give way; how much of them does is what load asks for and no more, so that at a
-threshold nothing changes at once. What may give way at a better level goes first, and within that the least
-worth.
+The level determines which kinds of turn may be shed. How much of them is shed follows the load and no more,
+so that admission does not jump when a threshold is crossed. Kinds that a better level may shed go first, and
+among those the ones with the least worth per unit of work.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 from .level import Level
 from .turns import RefusalLoss, TurnKind
 
-# What refusing a turn loses besides its own worth, as a factor on that: a stream that comes back loses what
-# was answered, a session under way the text kept for it; a repeat has lost its aim once before.
-LOSS = {
+# Factor on a turn's worth for what its refusal loses besides: of a resumed stream all that was answered, of
+# an open session the cached text. A retry is worth less because it missed its aim before.
+REFUSAL_LOSS_FACTOR = {
     RefusalLoss.RESUMED_STREAM: 4.0,
     RefusalLoss.OPEN_SESSION: 1.5,
     RefusalLoss.NEW_SESSION: 1.0,
     RefusalLoss.CLIENT_RETRY: 0.5,
 }
+# The share admitted of each kind of turn
 Shares = Mapping[TurnKind, float]
 
 
-def first_level(kind: TurnKind, top: frozenset[int]) -> Level | None:
-    """The best level at which a kind may give way; None for what none refuses."""
+def first_shedding_level(kind: TurnKind, top: frozenset[int]) -> Level | None:
+    """The best level that may shed a kind of turn; None if no level does. `top` = the top classes."""
     if kind.refusal_loss is RefusalLoss.RESUMED_STREAM:
         return None
     if kind.over_share or kind.refusal_loss is RefusalLoss.CLIENT_RETRY:
@@ -39,11 +40,15 @@
     return Level.LAST_RESORT
 
 
-def value(kind: TurnKind, settings: Settings, late: float) -> float:
-    """What a unit of its work is worth: its class's worth, by how much of it is answered late at present."""
+def worth_per_work(kind: TurnKind, settings: Settings, late: float) -> float:
+    """The worth of a unit of work of this kind, when the share `late` of the worth is answered late."""
     cls = settings.classes[kind.cls]
     worth = cls.worth * (1.0 - late + late * cls.late_worth)
-    return worth * (settings.over_share_worth if kind.over_share else 1.0) * LOSS[kind.refusal_loss]
+    return (
+        worth
+        * (settings.over_share_worth if kind.over_share else 1.0)
+        * REFUSAL_LOSS_FACTOR[kind.refusal_loss]
+    )
 
 
 def admit(
@@ -54,19 +59,23 @@
     top: frozenset[int],
     late: float = 0.0,
 ) -> list[dict[TurnKind, float]]:
-    """For each client the share admitted of each kind of turn that it sends.
+    """For each client the share, 0 to 1, to admit of each kind of turn that it sends.
 
-    `demand` is work a second by client and kind, `capacity` the work a second that can be done of all of it.
+    `demand` is the work per second by client and kind, `capacity` the work per second to admit of all of it,
+    `top` the top classes, and `late` the share of the worth that is answered late at present.
     """
-    asked = [sum(kinds.values()) for kinds in demand]
+    requested = [sum(kinds.values()) for kinds in demand]
     weights = [tenant.share for tenant in settings.tenants] or [1.0]
     if not any(weights):
         weights = [1.0] * len(weights)
-    given = max_min(asked, weights, capacity)
-    return [_client(level, kinds, asked[n] - given[n], settings, top, late) for n, kinds in enumerate(demand)]
+    allocated = max_min(requested, weights, capacity)
+    return [
+        _admit_client(level, kinds, requested[n] - allocated[n], settings, top, late)
+        for n, kinds in enumerate(demand)
+    ]
 
 
-def _client(
+def _admit_client(
     level: Level,
     kinds: Mapping[TurnKind, float],
     excess: float,
@@ -77,15 +86,15 @@
     shares = dict.fromkeys(kinds, 1.0)
     order = []
     for kind in kinds:
-        first = first_level(kind, top)
+        first = first_shedding_level(kind, top)
         if first is not None and first <= level:
-            order.append((first, value(kind, settings, late), kind))
+            order.append((first, worth_per_work(kind, settings, late), kind))
     for first, _, kind in sorted(order):
         refused = level >= Level.THRIFTY and first is Level.GUARDED and kind.over_share
         if kinds[kind] <= 0:
             shares[kind] = 0.0 if refused else 1.0
             continue
-        gone = kinds[kind] if refused else min(kinds[kind], max(0.0, excess))
-        excess -= gone
-        shares[kind] = 1.0 - gone / kinds[kind]
+        shed = kinds[kind] if refused else min(kinds[kind], max(0.0, excess))
+        excess -= shed
+        shares[kind] = 1.0 - shed / kinds[kind]
     return shares
--- a/yewhook/levels/demand.py
+++ b/yewhook/levels/demand.py
@@ -1,4 +1,4 @@
-"""How much work comes and how much of it is taken, by kind of turn and by client."""
+"""How much work is requested, by kind of turn and by client."""
 
 from __future__ import annotations
 
@@ -7,42 +7,45 @@
 from .estimators import DecayingRate
 from .turns import Turn, TurnKind
 
-SPAN = 10.0  # s; time constant of the rates by which turns are admitted
-LEVEL_SPAN = 30.0  # s; of the one by which the level is judged, which is to change seldom
+ADMISSION_TIME_CONSTANT_S = 10.0  # of the rates that decide how many turns are admitted
+LEVEL_TIME_CONSTANT_S = 30.0  # of the rate that decides the level, which should change seldom
 
 
 class Demand:
-    def __init__(self, settings: Settings, now: float) -> None:
-        self._began = now
-        self.tenants = max(1, len(settings.tenants))
-        self._kinds: list[dict[TurnKind, DecayingRate]] = [{} for _ in range(self.tenants)]
-        self._all, self._first = DecayingRate(SPAN, now), DecayingRate(LEVEL_SPAN, now)
+    """Rates of requested work, in units of work per second."""
 
-    def came(self, turn: Turn, now: float) -> None:
+    def __init__(self, settings: Settings, now: float) -> None:
+        self._started_at = now
+        self.tenant_count = max(1, len(settings.tenants))
+        self._kinds: list[dict[TurnKind, DecayingRate]] = [{} for _ in range(self.tenant_count)]
+        self._arrived = DecayingRate(ADMISSION_TIME_CONSTANT_S, now)
+        self._decided = DecayingRate(LEVEL_TIME_CONSTANT_S, now)
+
+    def turn_arrived(self, turn: Turn, now: float) -> None:
+        """Counts a turn when it arrives."""
         kinds = self._kinds[turn.tenant]
-        if turn.kind not in kinds:  # their number is bounded: classes x standings x 4
-            kinds[turn.kind] = DecayingRate(SPAN, self._began)
+        if turn.kind not in kinds:  # bounded: number of classes x members of RefusalLoss x 4
+            kinds[turn.kind] = DecayingRate(ADMISSION_TIME_CONSTANT_S, self._started_at)
         kinds[turn.kind].add(turn.work, now)
-        self._all.add(turn.work, now)
+        self._arrived.add(turn.work, now)
 
-    def decided(self, turn: Turn, now: float) -> None:
-        """A turn was sent to a server for the first time, or ended without that.
+    def turn_decided(self, turn: Turn, now: float) -> None:
+        """Counts a turn when it is first sent to a server, or ends without having been sent.
 
-        What is asked counts here and not when it comes, for what is still held is neither done nor missed.
+        A turn that still waits is neither served nor missed, so it is not counted on arrival.
         """
-        # Repeats ask again for what was counted before: counted twice, they would keep a level up by
-        # themselves.
+        # A retry asks again for work already counted: counted twice, retries alone could hold a level.
         if not turn.repeat:
-            self._first.add(turn.work, now)
+            self._decided.add(turn.work, now)
 
-    def by_kind(self, tenant: int, now: float) -> dict[TurnKind, float]:
-        """Work a second that a client asks for, its repeats included."""
+    def arrival_rates(self, tenant: int, now: float) -> dict[TurnKind, float]:
+        """Work per second that a client requests, by kind of turn, retries included."""
         return {kind: rate.at(now) for kind, rate in self._kinds[tenant].items()}
 
-    def all(self, now: float) -> float:
-        """Work a second that comes, repeats included."""
-        return self._all.at(now)
+    def arrival_rate(self, now: float) -> float:
+        """Work per second that all clients request, retries included."""
+        return self._arrived.at(now)
 
-    def asked(self, now: float) -> float:
-        """Work a second that was asked for and decided on, repeats not included."""
-        return self._first.at(now)
+    def decided_rate(self, now: float) -> float:
+        """Work per second of the turns that were sent or ended unsent, without retries."""
+        return self._decided.at(now)
--- a/yewhook/levels/discovery_health.py
+++ b/yewhook/levels/discovery_health.py
@@ -1,47 +1,58 @@
-"""How far the list of servers can be believed: the age of its last word, and what sockets say against it."""
+"""How far the list of servers can be trusted: how old it is, and how many connections contradict it."""
 
 from __future__ import annotations
 
 from hopshed.interface import ListKind, Outcome, Server, ServersListed, ServerState
 
-OLD = 5.0  # s since its last word after which each contradiction counts double
-KEPT = 6.0  # s for which a server that could not be reached, or said nothing, counts as contradicted
-AGAINST = frozenset({Outcome.UNREACHABLE, Outcome.TIMED_OUT, Outcome.RESET})
-FOR = frozenset({Outcome.OK, Outcome.READ, Outcome.FULL})
+STALE_AFTER_S = 5.0  # age of the last message from discovery above which contradictions count double
+CONTRADICTED_S = 6.0  # for which a server counts as contradicted after it was unreachable or silent
+CONTRADICTING = frozenset({Outcome.UNREACHABLE, Outcome.TIMED_OUT, Outcome.RESET})
+CONFIRMING = frozenset({Outcome.OK, Outcome.READ, Outcome.FULL})
 
 
 class DiscoveryHealth:
-    """No more is kept than a time for each server that is running by the list."""
+    """Compares the list of servers with the outcomes of attempts; keeps one time per running server."""
 
     def __init__(self) -> None:
-        self.known = False  # whether any list has come
-        self._running: dict[int, float] = {}  # server -> until when it counts as contradicted
+        self.has_list = False  # whether any list was received
+        self._contradicted_until: dict[int, float] = {}  # by the id of each server listed as running
 
-    def listed(self, ev: ServersListed) -> None:
-        if ev.kind is ListKind.FAILED:
+    def servers_listed(self, event: ServersListed) -> None:
+        """Takes over a list of servers from discovery."""
+        if event.kind is ListKind.FAILED:
             return
-        self.known = True
-        if ev.kind is not ListKind.CHANGES:
-            kept = {server.id for server in ev.servers}
-            self._running = {n: until for n, until in self._running.items() if n in kept}
-        for server in ev.servers:
-            self._one(server)
-
-    def _one(self, server: Server) -> None:
+        self.has_list = True
+        if event.kind is not ListKind.CHANGES:
+            listed = {server.id for server in event.servers}
+            self._contradicted_until = {
+                server_id: until
+                for server_id, until in self._contradicted_until.items()
+                if server_id in listed
+            }
+        for server in event.servers:
+            self._update(server)
+
+    def _update(self, server: Server) -> None:
         if server.state is ServerState.RUNNING:
-            self._running.setdefault(server.id, 0.0)
+            self._contradicted_until.setdefault(server.id, 0.0)
         else:
-            self._running.pop(server.id, None)
+            self._contradicted_until.pop(server.id, None)
 
-    def heard(self, server: int, outcome: Outcome, now: float) -> None:
-        if server in self._running and outcome in AGAINST:
-            self._running[server] = now + KEPT
-        elif server in self._running and outcome in FOR:
-            self._running[server] = 0.0
+    def attempt_ended(self, server: int, outcome: Outcome, now: float) -> None:
+        """Notes whether the outcome of an attempt confirms or contradicts that the server runs."""
+        if server in self._contradicted_until and outcome in CONTRADICTING:
+            self._contradicted_until[server] = now + CONTRADICTED_S
+        elif server in self._contradicted_until and outcome in CONFIRMING:
+            self._contradicted_until[server] = 0.0
 
     def doubt(self, now: float, age: float) -> float:
-        """Part of the running servers that sockets contradict; more where its last word is old."""
-        if not self._running:
+        """The share of running servers that connections contradict; doubled if the list is stale.
+
+        `age` = seconds since the last message from discovery.
+        """
+        if not self._contradicted_until:
             return 0.0
-        against = sum(until > now for until in self._running.values()) / len(self._running)
-        return min(1.0, against * (2.0 if age > OLD else 1.0))
+        contradicted = sum(until > now for until in self._contradicted_until.values()) / len(
+            self._contradicted_until
+        )
+        return min(1.0, contradicted * (2.0 if age > STALE_AFTER_S else 1.0))
--- a/yewhook/levels/estimators.py
+++ b/yewhook/levels/estimators.py
@@ -1,4 +1,4 @@
-"""Small estimators that forget: none of them grows with what it has seen."""
+"""Estimators that weight recent samples more, each in constant memory."""
 
 from __future__ import annotations
 
@@ -11,131 +11,154 @@
 
 @dataclass(slots=True)
 class DecayingRate:
-    """Amount a second, fading over a time constant (s); right from the first seconds on, when less has
-    passed."""
+    """An exponentially weighted rate, in amount per second.
 
-    constant: float
-    began: float
+    Corrected for the time since its start, so that it is accurate before a time constant has passed.
+    """
+
+    time_constant: float  # s
+    started_at: float  # s
     sum: Estimate = field(default_factory=Estimate)
 
     def add(self, amount: float, now: float) -> None:
-        self.sum.add(amount, now, self.constant)
+        """Counts an amount."""
+        self.sum.add(amount, now, self.time_constant)
 
     def at(self, now: float) -> float:
-        seen = 1.0 - math.exp((self.began - now) / self.constant)
-        return self.sum.decayed(now, self.constant) / (self.constant * seen) if seen > 0 else 0.0
+        """The rate per second."""
+        seen = 1.0 - math.exp((self.started_at - now) / self.time_constant)
+        return self.sum.decayed(now, self.time_constant) / (self.time_constant * seen) if seen > 0 else 0.0
 
 
 @dataclass(slots=True)
 class DecayingRatio:
-    """Part of what came that is counted, fading; 0 while less has come lately than `least`."""
+    """An exponentially weighted share of the total that counts.
+
+    The total is taken to be at least `min_total`, so that a few samples cannot make up all of it.
+    """
 
-    constant: float
+    time_constant: float  # s
     min_total: float
     counted: Estimate = field(default_factory=Estimate)
     all: Estimate = field(default_factory=Estimate)
 
     def add(self, amount: float, counts: bool, now: float) -> None:
-        self.all.add(amount, now, self.constant)
+        """Adds an amount to the total, and to the counted part if it counts."""
+        self.all.add(amount, now, self.time_constant)
         if counts:
-            self.counted.add(amount, now, self.constant)
+            self.counted.add(amount, now, self.time_constant)
 
     def at(self, now: float) -> float:
-        whole = self.all.decayed(now, self.constant)
-        # What has come lately is too little to judge by: it is held against the least instead.
+        """The counted share, 0 to 1; 0 before the first sample."""
+        total = self.all.decayed(now, self.time_constant)
         return (
-            min(1.0, self.counted.decayed(now, self.constant) / max(whole, self.min_total)) if whole else 0.0
+            min(1.0, self.counted.decayed(now, self.time_constant) / max(total, self.min_total))
+            if total
+            else 0.0
         )
 
 
 @dataclass(slots=True)
 class Mean:
-    """A mean that follows: each sample weighs `gain`, the first ones as in a plain mean."""
+    """An exponentially weighted mean; each sample weighs `gain`, the first ones as in an arithmetic mean."""
 
     gain: float
     value: float = 0.0
     count: int = 0
 
     def add(self, sample: float) -> None:
+        """Includes a sample."""
         self.count += 1
         self.value += max(self.gain, 1.0 / self.count) * (sample - self.value)
 
-    def known(self, otherwise: float) -> float:
-        return self.value if self.count else otherwise
+    def value_or(self, default: float) -> float:
+        """The mean, or the default before the first sample."""
+        return self.value if self.count else default
 
 
 class Quantiles:
-    """A fading histogram over geometric buckets: a quantile is right to the buckets' ratio.
+    """Quantiles from an exponentially decaying histogram with geometric buckets.
 
-    Weights grow with time instead of all buckets being faded (forward decay; Cormode et al. 2009), and are
-    scaled back before they overflow.
+    The weights of new samples grow with time instead of all buckets being decayed (forward decay; Cormode et
+    al. 2009), and are scaled back before they overflow.
     """
 
-    LEAST, RATIO, BUCKETS = 0.01, 1.15, 64  # 0.01 to 67, with an error of 7% at most
+    MIN_VALUE, BUCKET_RATIO, BUCKET_COUNT = 0.01, 1.15, 64  # covers 0.01 to 67 with at most 7% error
 
-    def __init__(self, constant: float) -> None:
-        self._constant, self._landmark = constant, 0.0
-        self._weights = [0.0] * self.BUCKETS
+    def __init__(self, time_constant: float) -> None:
+        """`time_constant` in seconds."""
+        self._time_constant, self._landmark = time_constant, 0.0
+        self._weights = [0.0] * self.BUCKET_COUNT
         self._sum = 0.0
 
     def add(self, value: float, now: float) -> None:
+        """Includes a sample."""
         if not self._sum:
             self._landmark = now
-        if now - self._landmark > 100 * self._constant:
-            fade = math.exp((self._landmark - now) / self._constant)
-            self._weights = [weight * fade for weight in self._weights]
-            self._sum, self._landmark = self._sum * fade, now
-        weight = math.exp((now - self._landmark) / self._constant)
+        if now - self._landmark > 100 * self._time_constant:
+            factor = math.exp((self._landmark - now) / self._time_constant)
+            self._weights = [weight * factor for weight in self._weights]
+            self._sum, self._landmark = self._sum * factor, now
+        weight = math.exp((now - self._landmark) / self._time_constant)
         self._weights[self._bucket(value)] += weight
         self._sum += weight
 
     def _bucket(self, value: float) -> int:
-        if value <= self.LEAST:
+        if value <= self.MIN_VALUE:
             return 0
-        return min(self.BUCKETS - 1, 1 + int(math.log(value / self.LEAST) / math.log(self.RATIO)))
+        return min(
+            self.BUCKET_COUNT - 1, 1 + int(math.log(value / self.MIN_VALUE) / math.log(self.BUCKET_RATIO))
+        )
 
-    def at(self, part: float, now: float, least: float) -> float:
-        """The value below which that part lies; 0 where fewer samples than `least` are left of what faded."""
-        if self._sum * math.exp((self._landmark - now) / self._constant) < least:
+    def at(self, quantile: float, now: float, min_samples: float) -> float:
+        """The value at a quantile from 0 to 1; 0 while the decayed number of samples is too small."""
+        if self._sum * math.exp((self._landmark - now) / self._time_constant) < min_samples:
             return 0.0
-        passed = 0.0
+        cumulative = 0.0
         for bucket, weight in enumerate(self._weights):
-            passed += weight
-            if passed >= part * self._sum:
-                # The middle of the bucket, in ratio; the first one holds what is as good as nothing.
-                return self.LEAST * self.RATIO ** (bucket - 0.5) if bucket else 0.0
-        return self.LEAST * self.RATIO**self.BUCKETS
+            cumulative += weight
+            if cumulative >= quantile * self._sum:
+                # The geometric middle of the bucket; the first one holds values that are practically 0.
+                return self.MIN_VALUE * self.BUCKET_RATIO ** (bucket - 0.5) if bucket else 0.0
+        return self.MIN_VALUE * self.BUCKET_RATIO**self.BUCKET_COUNT
 
 
-class Recent:
-    """Whether a key was seen within the last one to two spans: two generations of a Bloom filter (Bloom
+class RecentKeys:
+    """Whether a key was added within the last one to two spans: two generations of a Bloom filter (Bloom
     1970).
 
-    At 64 KiB of bits a generation, 10,000 keys in a span give under 1 wrong yes in 40; there is no wrong no.
+    With 2**16 bits per generation, 5,000 keys in a span give 1 false positive in 60 with both generations
+    full, and 10,000 keys 1 in 10. There are no false negatives within one span.
     """
 
-    BITS, PROBES = 1 << 16, 3
+    BIT_COUNT, HASH_COUNT = 1 << 16, 3
 
     def __init__(self, span: float) -> None:
-        self._span, self._turned = span, -math.inf
-        self._young, self._old = bytearray(self.BITS // 8), bytearray(self.BITS // 8)
+        """`span` in seconds."""
+        self._span, self._rotated_at = span, -math.inf
+        self._current, self._previous = bytearray(self.BIT_COUNT // 8), bytearray(self.BIT_COUNT // 8)
 
-    def _places(self, key: str) -> tuple[int, ...]:
+    def _bits(self, key: str) -> tuple[int, ...]:
         digest = int.from_bytes(blake2b(key.encode(), digest_size=8).digest(), "big")
-        return tuple((digest >> (20 * n)) % self.BITS for n in range(self.PROBES))
+        return tuple((digest >> (20 * n)) % self.BIT_COUNT for n in range(self.HASH_COUNT))
 
-    def _turn(self, now: float) -> None:
-        if now - self._turned >= self._span:
-            stale = now - self._turned >= 2 * self._span
-            self._old = bytearray(self.BITS // 8) if stale else self._young
-            self._young, self._turned = bytearray(self.BITS // 8), now
+    def _rotate(self, now: float) -> None:
+        if now - self._rotated_at >= self._span:
+            stale = now - self._rotated_at >= 2 * self._span
+            self._previous = bytearray(self.BIT_COUNT // 8) if stale else self._current
+            self._current, self._rotated_at = bytearray(self.BIT_COUNT // 8), now
 
     def add(self, key: str, now: float) -> None:
-        self._turn(now)
-        for place in self._places(key):
-            self._young[place >> 3] |= 1 << (place & 7)
+        """Marks a key as seen now."""
+        self._rotate(now)
+        for bit in self._bits(key):
+            self._current[bit >> 3] |= 1 << (bit & 7)
 
     def seen(self, key: str, now: float) -> bool:
-        self._turn(now)
-        places = self._places(key)
-        return any(all(g[p >> 3] & 1 << (p & 7) for p in places) for g in (self._young, self._old))
+        """Whether the key was added recently; may be wrong for a key that was not."""
+        self._rotate(now)
+        bits = self._bits(key)
+        return any(
+            all(generation[bit >> 3] & 1 << (bit & 7) for bit in bits)
+            for generation in (self._current, self._previous)
+        )
--- a/yewhook/levels/fairness.py
+++ b/yewhook/levels/fairness.py
@@ -1,33 +1,45 @@
-"""Weighted max-min fairness (Bertsekas and Gallager, Data Networks, 6.5.2): by water-filling, in one pass."""
+"""Weighted max-min fairness by water-filling in one pass (Bertsekas and Gallager, Data Networks, 6.5.2)."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from itertools import accumulate
 
-LEAST = 1e-9  # of the largest weight; one under it counts as none
+MIN_RELATIVE_WEIGHT = 1e-9  # share of the largest weight up to which a weight is treated as 0
 
 
 def max_min(demands: Sequence[float], weights: Sequence[float], capacity: float) -> list[float]:
-    """What each gets of the capacity: its demand where that is under its share, and what is left so goes to
-    the others by weight. None gets more than it asks; those of weight 0 share alike what the others leave."""
-    given = [0.0] * len(demands)
+    """The allocation of the capacity to each demand, in the order given.
+
+    A demand below its share is met in full; what it leaves goes to the others by weight. None gets more than
+    its demand. Those of weight 0 share equally what the others leave.
+    """
+    allocated = [0.0] * len(demands)
     scale = max(weights, default=0.0) or 1.0
-    parts = [w / scale for w in weights]
-    weighted = sorted((n for n, w in enumerate(parts) if w > LEAST), key=lambda n: demands[n] / parts[n])
-    left = _fill(weighted, demands, parts, max(0.0, capacity), given)
-    rest = sorted((n for n, w in enumerate(parts) if w <= LEAST), key=lambda n: demands[n])
-    _fill(rest, demands, [1.0] * len(demands), left, given)
-    return given
+    relative = [weight / scale for weight in weights]
+    weighted = sorted(
+        (n for n, weight in enumerate(relative) if weight > MIN_RELATIVE_WEIGHT),
+        key=lambda n: demands[n] / relative[n],
+    )
+    left = _fill(weighted, demands, relative, max(0.0, capacity), allocated)
+    unweighted = sorted(
+        (n for n, weight in enumerate(relative) if weight <= MIN_RELATIVE_WEIGHT), key=lambda n: demands[n]
+    )
+    _fill(unweighted, demands, [1.0] * len(demands), left, allocated)
+    return allocated
 
 
 def _fill(
-    order: Sequence[int], demands: Sequence[float], weights: Sequence[float], left: float, given: list[float]
+    order: Sequence[int],
+    demands: Sequence[float],
+    weights: Sequence[float],
+    left: float,
+    allocated: list[float],
 ) -> float:
-    """Serve in this order, the least demand for its weight first; what is left after that."""
-    # Weights still to come are summed from the end: taken off one by one, a tiny last one would be lost.
-    to_come = list(accumulate(weights[n] for n in reversed(order)))[::-1]
-    for n, weight in zip(order, to_come, strict=True):
-        given[n] = min(demands[n], left * (weights[n] / weight))
-        left = max(0.0, left - given[n])
+    """Allocates in this order, smallest demand per weight first. Returns the capacity that is left."""
+    # Summed from the end: subtracting from a total one by one would lose a tiny last weight to rounding.
+    remaining_weights = list(accumulate(weights[n] for n in reversed(order)))[::-1]
+    for n, remaining in zip(order, remaining_weights, strict=True):
+        allocated[n] = min(demands[n], left * (weights[n] / remaining))
+        left = max(0.0, left - allocated[n])
     return left
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -1,5 +1,8 @@
-"""One router's level of service: hears what its decision module hears and does, and says what there is room
-for."""
+"""The level of service of one router.
+
+The governor stands between the core and its decision module. It observes the module's events and actions,
+derives the level of service from them, and sets on each arriving request which share of such turns to admit.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from hopshed import interface as i
+from hopshed import interface
 from hopshed.interface import Outcome, Role
 
 from .admission import admit
@@ -24,127 +27,139 @@
 if TYPE_CHECKING:
     from ..recovery.recovery import Recovery
 
-EVALUATION_INTERVAL_S = 0.25  # s between looks
-LATE_SPAN, WAIT_SPAN, LOST_SPAN, DONE_SPAN = 5.0, 3.0, 10.0, 20.0  # s; time constants
-WAITS_LEAST = 4.0  # waits seen lately, below which they say nothing
-LOAD_MOST = 10.0  # whatever more there is
-KEPT_AFTER = 5.0  # s after its patience at which an entry that nothing ended is dropped
+EVALUATION_INTERVAL_S = 0.25
+LATE_TIME_CONSTANT_S = 5.0  # of the signal `late`
+WAITING_TIME_CONSTANT_S = 3.0  # of the signal `waiting`
+LOST_TIME_CONSTANT_S = 10.0  # of the signal `lost`
+TURN_RATE_TIME_CONSTANT_S = 20.0
+MIN_WAIT_SAMPLES = 4.0  # turns needed for the signal `waiting`; it is 0 with fewer
+MAX_LOAD_SIGNAL = 10.0  # upper bound of the signal `load`
+ENTRY_GRACE_S = 5.0  # after a request's patience, until an entry that no event ended is dropped
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenRequest:
     turn: Turn
     session: str
-    prompt: float
-    until: float
+    prompt_tokens: float
+    expires_at: float
     sent: bool = False
-    first: float | None = None  # when its answer began
+    answered_at: float | None = None  # when its answer began
 
 
-Sight = Callable[[float], dict[Role, i.RoleUsage]]
+# The usage of each role's servers at a time
+RoleUsageSource = Callable[[float], dict[Role, interface.RoleUsage]]
 
 
 class Governor:
+    """Measures the signals, runs the level state machine, and decides the shares to admit."""
+
     def __init__(
         self,
-        settings: i.Settings,
+        settings: interface.Settings,
         levels: ServiceLevelSettings,
         seed: int,
         now: float,
-        vitals: Callable[[], ProcessHealth] = ProcessHealth,
+        process_health: Callable[[], ProcessHealth] = ProcessHealth,
         changed: Callable[[Change], None] = lambda change: None,
         recovery: Recovery | None = None,
     ) -> None:
+        """`changed` is called with each change of level."""
         self.settings, self.levels, self.recovery = settings, levels, recovery
-        self._vitals, self._changed = vitals, changed
+        self._process_health, self._changed = process_health, changed
         self.level_state = LevelStateMachine(levels, Random(f"levels {seed}").random(), now)
         self.signals = Signals()
         self._turns = Turns(settings, levels.long_turn)
         self._demand = Demand(settings, now)
-        self._register = DiscoveryHealth()
-        self._late = DecayingRatio(LATE_SPAN, 0.0)
-        self._late_by_class = [DecayingRatio(LATE_SPAN, 0.0) for _ in settings.classes]
-        self._lost = DecayingRatio(LOST_SPAN, 3.0)
-        self._waits = Quantiles(WAIT_SPAN)
+        self._discovery = DiscoveryHealth()
+        self._late = DecayingRatio(LATE_TIME_CONSTANT_S, 0.0)
+        self._late_by_class = [DecayingRatio(LATE_TIME_CONSTANT_S, 0.0) for _ in settings.classes]
+        self._lost = DecayingRatio(LOST_TIME_CONSTANT_S, 3.0)  # of at least 3 streams
+        self._waits = Quantiles(WAITING_TIME_CONSTANT_S)
         self._capacity = Capacity()
-        self._done = DecayingRate(DONE_SPAN, now)
-        self._mean_worth = Mean(0.02)
-        self._open: dict[str, _Open] = {}
-        self._shares: list[dict[TurnKind, float]] = [{} for _ in range(self._demand.tenants)]
-        self._next = self._last = now
-        self._told: i.ServiceLevel | None = None
-
-    # ---- the core's turn ----
-
-    def filter_events(self, now: float, events: Sequence[i.Event], sight: Sight) -> list[i.Event]:
-        """What the module is to hear: the turns' events, with what there is room for of each that arrived."""
-        if now - self._last > MAX_EVALUATION_GAP_S:
-            self._after_pause(now)
-        self._last = now
-        out: list[i.Event] = []
-        if now >= self._next:
-            self._look(now, sight(now))
-            out += self._tell(now)
+        self._turn_rate = DecayingRate(TURN_RATE_TIME_CONSTANT_S, now)
+        self._mean_worth = Mean(0.02)  # weight of a sample
+        self._open: dict[str, _OpenRequest] = {}  # by request id
+        self._shares: list[dict[TurnKind, float]] = [{} for _ in range(self._demand.tenant_count)]
+        self._next_evaluation = self._last_turn = now
+        self._last_event: interface.ServiceLevel | None = None  # the last one passed to the module
+
+    # ---- called by the core in each turn of its loop ----
+
+    def filter_events(
+        self, now: float, events: Sequence[interface.Event], usage: RoleUsageSource
+    ) -> list[interface.Event]:
+        """The events to pass to the module: those given, with the share to admit set on each arrival.
+
+        A change of the level comes first. Evaluates the level if that is due.
+        """
+        if now - self._last_turn > MAX_EVALUATION_GAP_S:
+            self._reset_after_stall(now)
+        self._last_turn = now
+        out: list[interface.Event] = []
+        if now >= self._next_evaluation:
+            self._evaluate(now, usage(now))
+            out += self._level_events(now)
             if self.recovery is not None:
                 out += self.recovery.warm_rates()
         for event in events:
-            out.append(self._hear(event, now))
+            out.append(self._observe(event, now))
         return out
 
-    def observe_actions(self, now: float, actions: Sequence[i.Action]) -> None:
-        """What the module did."""
+    def observe_actions(self, now: float, actions: Sequence[interface.Action]) -> None:
+        """Counts what the module did with the requests."""
         for act in actions:
-            if isinstance(act, i.Send):
-                self._sent(act, now)
-            elif isinstance(act, i.Refuse | i.Fail):
+            if isinstance(act, interface.Send):
+                self._request_sent(act, now)
+            elif isinstance(act, interface.Refuse | interface.Fail):
                 entry = self._open.pop(act.id, None)
                 if entry is not None:
-                    self._missed(entry, now)
-                    if not (isinstance(act, i.Refuse) and act.gave_way):
-                        self._was_late(entry.turn, True, now, entry.sent)
+                    self._ended_unanswered(entry, now)
+                    if not (isinstance(act, interface.Refuse) and act.gave_way):
+                        self._count_late(entry.turn, True, now, entry.sent)
 
     def start_over(self) -> None:
-        """The module begins anew and is to be told the level again."""
+        """Forgets the open requests after the module was replaced; the new one is told the level again."""
         self._open.clear()
-        self._told = None
+        self._last_event = None
 
-    def _after_pause(self, now: float) -> None:
-        """What came in while the process stood still comes in at once: no rate may be judged by it."""
+    def _reset_after_stall(self, now: float) -> None:
+        """Discards the rates: all that arrived during a stall of the process is handled at once."""
         self._demand = Demand(self.settings, now)
-        self._shares = [{} for _ in range(self._demand.tenants)]
-        self._waits = Quantiles(WAIT_SPAN)
+        self._shares = [{} for _ in range(self._demand.tenant_count)]
+        self._waits = Quantiles(WAITING_TIME_CONSTANT_S)
         self._capacity.discard_interval()
-        self._next = now + EVALUATION_INTERVAL_S
+        self._next_evaluation = now + EVALUATION_INTERVAL_S
 
-    # ---- what is heard ----
+    # ---- events ----
 
-    def _hear(self, event: i.Event, now: float) -> i.Event:
+    def _observe(self, event: interface.Event, now: float) -> interface.Event:
         if self.recovery is not None:
             self.recovery.observe(event, now)
-        if isinstance(event, i.RequestArrived):
-            return self._arrived(event, now)
-        if isinstance(event, i.StreamStarted):
+        if isinstance(event, interface.RequestArrived):
+            return self._request_arrived(event, now)
+        if isinstance(event, interface.StreamStarted):
             entry = self._open.get(event.id)
-            if entry is not None and entry.first is None:
-                entry.first = now
-                self._was_late(entry.turn, now - entry.turn.arrived > entry.turn.aim, now)
-        elif isinstance(event, i.AttemptEnded):
-            self._ended(event, now)
-        elif isinstance(event, i.ClientGone):
+            if entry is not None and entry.answered_at is None:
+                entry.answered_at = now
+                self._count_late(entry.turn, now - entry.turn.arrived > entry.turn.aim, now)
+        elif isinstance(event, interface.AttemptEnded):
+            self._attempt_ended(event, now)
+        elif isinstance(event, interface.ClientGone):
             entry = self._open.pop(event.id, None)
-            if entry is not None and entry.first is None:
-                self._missed(entry, now)
-                self._was_late(entry.turn, now - entry.turn.arrived > entry.turn.aim, now, entry.sent)
-        elif isinstance(event, i.ServersListed):
-            self._register.listed(event)
+            if entry is not None and entry.answered_at is None:
+                self._ended_unanswered(entry, now)
+                self._count_late(entry.turn, now - entry.turn.arrived > entry.turn.aim, now, entry.sent)
+        elif isinstance(event, interface.ServersListed):
+            self._discovery.servers_listed(event)
         return event
 
-    def _arrived(self, event: i.RequestArrived, now: float) -> i.Event:
+    def _request_arrived(self, event: interface.RequestArrived, now: float) -> interface.Event:
         turn = self._turns.classify(event, now)
-        self._demand.came(turn, now)
+        self._demand.turn_arrived(turn, now)
         self._mean_worth.add(turn.worth)
-        self._open[event.id] = _Open(
-            turn, event.session, event.prompt_tokens, now + event.patience + KEPT_AFTER
+        self._open[event.id] = _OpenRequest(
+            turn, event.session, event.prompt_tokens, now + event.patience + ENTRY_GRACE_S
         )
         share = self._shares[turn.tenant].get(turn.kind, 1.0)
         if self.recovery is not None and self.recovery.active:
@@ -152,145 +167,161 @@
             share = min(share, float(self.recovery.admits(turn, top, now)))
         return event._replace(admit=share) if share < 1.0 and self.levels.mode is Mode.ON else event
 
-    def _ended(self, event: i.AttemptEnded, now: float) -> None:
-        self._register.heard(event.server, event.outcome, now)
+    def _attempt_ended(self, event: interface.AttemptEnded, now: float) -> None:
+        self._discovery.attempt_ended(event.server, event.outcome, now)
         entry = self._open.get(event.id)
         if entry is None:
             return
         if event.outcome is Outcome.READ:
-            under_way = entry.turn.kind.refusal_loss is RefusalLoss.OPEN_SESSION
-            self._turns.read(entry.turn.kind.cls, under_way, entry.prompt, event.note)
-        if entry.first is not None:
-            whole = event.outcome is Outcome.OK
+            open_session = entry.turn.kind.refusal_loss is RefusalLoss.OPEN_SESSION
+            self._turns.prompt_read(entry.turn.kind.cls, open_session, entry.prompt_tokens, event.note)
+        if entry.answered_at is not None:
+            complete = event.outcome is Outcome.OK
             if event.outcome is not Outcome.CANCELED:
-                self._lost.add(1.0, not whole, now)
-            if whole:
-                self._turns.streamed(entry.turn.kind.cls, now - entry.first)
-        if entry.first is not None or event.closed:
+                self._lost.add(1.0, not complete, now)
+            if complete:
+                self._turns.answer_streamed(entry.turn.kind.cls, now - entry.answered_at)
+        if entry.answered_at is not None or event.closed:
             del self._open[event.id]
 
-    def _sent(self, act: i.Send, now: float) -> None:
+    def _request_sent(self, act: interface.Send, now: float) -> None:
         entry = self._open.get(act.id)
         if entry is None or entry.sent:
             return
         entry.sent = True
-        self._demand.decided(entry.turn, now)
+        self._demand.turn_decided(entry.turn, now)
         self._capacity.sent(entry.turn.work, now)
-        self._done.add(1.0, now)
-        self._turns.begun(entry.session, now)
+        self._turn_rate.add(1.0, now)
+        self._turns.turn_sent(entry.session, now)
         self._waits.add((now - entry.turn.arrived) / entry.turn.aim if entry.turn.aim > 0 else 0.0, now)
 
-    def _missed(self, entry: _Open, now: float) -> None:
+    def _ended_unanswered(self, entry: _OpenRequest, now: float) -> None:
         if not entry.sent:
-            self._demand.decided(entry.turn, now)
+            self._demand.turn_decided(entry.turn, now)
+
+    def _count_late(self, turn: Turn, late: bool, now: float, sent: bool = True) -> None:
+        """Counts the worth of a turn as late or in time; `sent` = it was sent to a server at least once.
 
-    def _was_late(self, turn: Turn, late: bool, now: float, sent: bool = True) -> None:
-        """`sent` = a server has had it; what none could take at once burdened nobody."""
+        The recovery needs `sent`: a turn for which no server had room put no load on any.
+        """
         self._late.add(turn.worth, late, now)
         if self.recovery is not None:
             top = turn.kind.cls in top_classes(self.settings, self._turns.mean_work)
             self.recovery.turn_ended(turn, late, sent, top, now)
         self._late_by_class[turn.kind.cls].add(turn.worth, late, now)
 
-    # ---- looks ----
-
-    def _look(self, now: float, sight: dict[Role, i.RoleUsage]) -> None:
-        self._next = now + EVALUATION_INTERVAL_S
-        for rid in [rid for rid, entry in self._open.items() if entry.until < now and entry.first is None]:
-            del self._open[rid]
-        self.signals = self._judge(now, sight)
+    # ---- evaluation ----
+
+    def _evaluate(self, now: float, usage: dict[Role, interface.RoleUsage]) -> None:
+        self._next_evaluation = now + EVALUATION_INTERVAL_S
+        for request_id in [
+            request_id
+            for request_id, entry in self._open.items()
+            if entry.expires_at < now and entry.answered_at is None
+        ]:
+            del self._open[request_id]
+        self.signals = self._measure(now, usage)
         if self.recovery is not None:
-            self.recovery.update(now, sight, self._mean_worth.known(1.0))
+            self.recovery.update(now, usage, self._mean_worth.value_or(1.0))
             if self.recovery.active and self.level_state.pin is None:
-                # The phase rules while service returns: what is seen then says nothing of a level.
-                self._shares = [{} for _ in range(self._demand.tenants)]
+                # While service returns, the phase of the recovery decides; the signals do not reflect load.
+                self._shares = [{} for _ in range(self._demand.tenant_count)]
                 return
         change = self.level_state.step(now, self.signals)
         if change is not None:
             self._changed(change)
         if self.level_state.level is Level.FULL:
-            self._shares = [{} for _ in range(self._demand.tenants)]
+            self._shares = [{} for _ in range(self._demand.tenant_count)]
             return
-        demand = [self._demand.by_kind(tenant, now) for tenant in range(self._demand.tenants)]
-        can = self._capacity.can(now)
-        capacity = self._demand.all(now) if can is None else can * self.levels.target
+        demand = [self._demand.arrival_rates(tenant, now) for tenant in range(self._demand.tenant_count)]
+        possible = self._capacity.work_rate(now)
+        capacity = self._demand.arrival_rate(now) if possible is None else possible * self.levels.target
         top = top_classes(self.settings, self._turns.mean_work)
         self._shares = admit(self.level_state.level, demand, capacity, self.settings, top, self.signals.late)
 
-    def _judge(self, now: float, sight: dict[Role, i.RoleUsage]) -> Signals:
-        vitals = self._vitals()
-        if not self._register.known:  # nothing has been listed yet: there is nothing to judge by
-            return Signals(descriptors=vitals.descriptors, memory=vitals.memory)
-        self._capacity.look(sight, now)
-        mixed = sight[Role.MIXED]
-        missing = max(self._missing(sight[Role.READER], mixed), self._missing(sight[Role.WRITER], mixed))
-        held = [
-            (now - e.turn.arrived) / e.turn.aim for e in self._open.values() if not e.sent and e.turn.aim > 0
+    def _measure(self, now: float, usage: dict[Role, interface.RoleUsage]) -> Signals:
+        health = self._process_health()
+        if not self._discovery.has_list:  # without a list of servers the other signals mean nothing
+            return Signals(descriptors=health.descriptors, memory=health.memory)
+        self._capacity.update(usage, now)
+        mixed = usage[Role.MIXED]
+        missing = max(self._missing(usage[Role.READER], mixed), self._missing(usage[Role.WRITER], mixed))
+        waiting_now = [
+            (now - entry.turn.arrived) / entry.turn.aim
+            for entry in self._open.values()
+            if not entry.sent and entry.turn.aim > 0
         ]
-        waiting = max(self._waits.at(0.9, now, WAITS_LEAST), 0.0 if len(held) < WAITS_LEAST else min(held))
-        self._late.min_total = 2.0 * self._mean_worth.known(1.0)
+        waiting = max(
+            self._waits.at(0.9, now, MIN_WAIT_SAMPLES),
+            0.0 if len(waiting_now) < MIN_WAIT_SAMPLES else min(waiting_now),
+        )
+        # A total of at least two mean turns, so that one late turn does not count as everything late
+        self._late.min_total = 2.0 * self._mean_worth.value_or(1.0)
         return Signals(
             load=self._load(now),
             late=self._late.at(now),
             waiting=waiting,
             missing=missing,
-            doubt=self._register.doubt(now, vitals.discovery_age),
+            doubt=self._discovery.doubt(now, health.discovery_age),
             lost=self._lost.at(now),
-            descriptors=vitals.descriptors,
-            memory=vitals.memory,
+            descriptors=health.descriptors,
+            memory=health.memory,
         )
 
     @staticmethod
-    def _missing(own: i.RoleUsage, mixed: i.RoleUsage) -> float:
-        """Part of a stage's servers that is out of use; all of it where none is listed."""
+    def _missing(own: interface.RoleUsage, mixed: interface.RoleUsage) -> float:
+        """The share of a stage's servers that cannot be used; 1 if none is listed."""
         listed = own.listed + mixed.listed
         return 1.0 - min(1.0, (own.usable + mixed.usable) / listed) if listed else 1.0
 
     def _load(self, now: float) -> float:
-        """What is asked for over what can be done of it."""
-        can, asked = self._capacity.can(now), self._demand.asked(now)
-        if can is None or asked <= 0:
+        """The work requested over the work possible; 0 while either is unknown."""
+        possible, requested = self._capacity.work_rate(now), self._demand.decided_rate(now)
+        if possible is None or requested <= 0:
             return 0.0
-        return min(LOAD_MOST, asked / max(can, asked / LOAD_MOST))
+        return min(MAX_LOAD_SIGNAL, requested / max(possible, requested / MAX_LOAD_SIGNAL))
 
-    def _tell(self, now: float) -> list[i.Event]:
+    def _level_events(self, now: float) -> list[interface.Event]:
+        """The level of service for the module, if it differs from the one passed to it last."""
         level, settings = self.level_state.level, self.levels
-        event = i.ServiceLevel()
+        event = interface.ServiceLevel()
         if level is not Level.FULL and settings.mode is Mode.ON:
-            # Once calm it holds turns again: the long wait that leaving takes need not be paid for in full.
+            # Once calm, turns may wait for room again: the level itself is left only after a long calm.
             certain = level is Level.LAST_RESORT and not self.level_state.is_calm
-            event = i.ServiceLevel(level.label, settings.levels[level].retry_after, certain)
+            event = interface.ServiceLevel(level.label, settings.levels[level].retry_after, certain)
         if self.recovery is not None and self.recovery.active and not event.certain:
             event = self.recovery.service_level(now)
-        if event == (self._told or i.ServiceLevel()):
+        if event == (self._last_event or interface.ServiceLevel()):
             return []
-        self._told = event
+        self._last_event = event
         return [event]
 
     # ---- operators ----
 
     def pin(self, level: Level, seconds: float, reason: str, now: float) -> None:
+        """Holds a level for so long, whatever the signals."""
         self.level_state.set_pin(Pin(level, now + seconds, reason))
-        self._next = now
+        self._next_evaluation = now
 
     def unpin(self) -> None:
+        """Ends a pin at the next evaluation."""
         self.level_state.set_pin(None)
 
     def configure(self, levels: ServiceLevelSettings, now: float) -> None:
-        """Put other settings in force; a level that they don't know is left at once."""
+        """Replaces the settings; a level that they do not configure is left at once."""
         self.levels = levels
-        self._turns.long_turn = levels.long_turn
+        self._turns.long_turn_factor = levels.long_turn
         change = self.level_state.configure(levels, now)
         if change is not None:
             self._changed(change)
-        self._next = now
+        self._next_evaluation = now
 
     def turn_rate(self, now: float) -> float:
-        """Turns a second that this router sends on, over a longer while."""
-        return self._done.at(now)
+        """Turns per second that this router sends to servers, as an exponentially weighted rate."""
+        return self._turn_rate.at(now)
 
     def report(self, now: float) -> dict[str, Any]:
-        """For operators, as JSON holds it."""
+        """The level, its signals and the pin for operators, as JSON values."""
         pin = self.level_state.pin
         level = self.level_state.level
         return {
@@ -300,15 +331,17 @@
             "since_s": round(now - self.level_state.since, 1),
             "signals": {name: round(self.signals.value(name), 3) for name in self.signals.__slots__},
             "late_by_class": [round(share.at(now), 3) for share in self._late_by_class],
-            "admitted": [round(self._admitted(tenant, now), 3) for tenant in range(self._demand.tenants)],
+            "admitted": [
+                round(self._admitted_share(tenant, now), 3) for tenant in range(self._demand.tenant_count)
+            ],
             "pin": None if pin is None else {
                 "level": pin.level.label, "for_s": round(max(0.0, pin.until - now), 1), "reason": pin.reason
             },
         }  # fmt: skip
 
-    def _admitted(self, tenant: int, now: float) -> float:
-        """Part of a client's work that is admitted."""
-        kinds = self._demand.by_kind(tenant, now)
-        whole = sum(kinds.values())
+    def _admitted_share(self, tenant: int, now: float) -> float:
+        """The share of a client's work that is admitted."""
+        kinds = self._demand.arrival_rates(tenant, now)
+        total = sum(kinds.values())
         shares = self._shares[tenant]
-        return sum(work * shares.get(kind, 1.0) for kind, work in kinds.items()) / whole if whole else 1.0
+        return sum(work * shares.get(kind, 1.0) for kind, work in kinds.items()) / total if total else 1.0
