--- a/yewhook/service_level_admin.py
+++ b/yewhook/service_level_admin.py
@@ -1,5 +1,4 @@
-"""The levels of service at the edge of the process: its vital signs, the operators' file, pins, and what is
-told."""
+"""The levels of service at the edge of the process: its health, the operators' file, pins and reports."""
 
 from __future__ import annotations
 
@@ -20,31 +19,32 @@
     from .levels.governor import Governor
     from .levels.level_state import Change
 
-LOOK_EVERY = 1.0  # s between looks at the process's memory
-PAGE = os.sysconf("SC_PAGE_SIZE")
+MEMORY_INTERVAL_S = 1.0  # between readings of the process's memory
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def resident_bytes(pid: int | str = "self") -> int:
-    """Bytes of memory that a process holds."""
-    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
+    """The resident memory of a process in bytes. Raises OSError if there is no such process."""
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 class ProcessHealthMonitor:
-    """Descriptors and memory in use, as parts of what the process may have."""
+    """Measures sockets and memory in use, as shares of the limits of the process."""
 
     def __init__(self, loop: Loop, limits: Limits) -> None:
         self._loop, self._limits = loop, limits
-        self._looked, self._memory = -LOOK_EVERY, 0.0
+        self._read_at, self._memory = -MEMORY_INTERVAL_S, 0.0
 
     def __call__(self) -> ProcessHealth:
-        if self._loop.now - self._looked >= LOOK_EVERY:
-            self._looked = self._loop.now
+        """The present values; the memory is at most MEMORY_INTERVAL_S old."""
+        if self._loop.now - self._read_at >= MEMORY_INTERVAL_S:
+            self._read_at = self._loop.now
             self._memory = resident_bytes() / self._limits.memory
         return ProcessHealth(self._loop.sockets / self._limits.sockets, self._memory)
 
 
 class ServiceLevelAdmin:
-    """What operators see and set of the levels at one router, on all its fronts alike."""
+    """Applies the operators' settings and pins to all fronts of a router, and reports their levels."""
 
     def __init__(
         self,
@@ -53,42 +53,51 @@
         limits: Limits,
         fronts: list[RouterFront],
         settings: ServiceSettings,
-        read_again: Callable[[], ServiceSettings],
+        read_settings: Callable[[], ServiceSettings],
     ) -> None:
+        """`read_settings` reads the operators' file again, for a reload."""
         self.log, self._loop, self._fronts = log, loop, fronts
-        self._vitals, self._read_again = ProcessHealthMonitor(loop, limits), read_again
+        self._process_health, self._read_settings = ProcessHealthMonitor(loop, limits), read_settings
         self._settings = ServiceSettings()
-        self.put_in_force(settings)
+        self.apply(settings)
 
     def reload(self) -> Callable[[], str]:
-        """Read the operators' file anew; raises ConfigError, and then nothing has changed."""
-        settings = self._read_again()
+        """Reads the operators' file again and returns a function that applies it.
 
-        def put_in_force() -> str:
+        That function returns the text to log, empty if the settings are the same. Raises ConfigError for an
+        invalid file; nothing has changed then.
+        """
+        settings = self._read_settings()
+
+        def apply() -> str:
             changed = settings != self._settings
-            self.put_in_force(settings)
+            self.apply(settings)
             return "the operators' settings are in force" if changed else ""
 
-        return put_in_force
+        return apply
 
-    def put_in_force(self, settings: ServiceSettings) -> None:
+    def apply(self, settings: ServiceSettings) -> None:
+        """Puts settings in force, and their pin if it has not expired."""
         self._settings = settings
         self.log.set_format(settings.log)
         for front in self._fronts:
-            front.set_levels(settings.levels, self._vitals, self._changed)
+            front.set_levels(settings.levels, self._process_health, self._level_changed)
         pin = settings.pin
-        if pin is not None and (left := pin.until - time.time()) > 0:
-            self.pin(pin.level, left, pin.reason)
+        if pin is not None and (seconds := pin.until - time.time()) > 0:
+            self.pin(pin.level, seconds, pin.reason)
 
-    def _changed(self, change: Change) -> None:
-        """One line at each change: what to, what from, why, and how long the last one held."""
-        why = change.condition
+    def _level_changed(self, change: Change) -> None:
+        """Logs a change of level, its cause, and how long the level before lasted."""
+        cause = change.condition
         if change.threshold:
-            why += f" {change.value:.2f} {'for' if why == 'calm' else 'reached'} {change.threshold:.2f}"
+            cause += (
+                f" {change.value:.2f} {'s, required' if cause == 'calm' else 'reached'}"
+                f" {change.threshold:.2f}"
+            )
         before, after = change.before.label, change.after.label
         self.log(
             "service level",
-            f"{before} to {after}: {why}; {before} lasted {change.duration_s:.0f} s",
+            f"{before} to {after}: {cause}; {before} lasted {change.duration_s:.0f} s",
             before=before,
             after=after,
             condition=change.condition,
@@ -98,26 +107,28 @@
         )
 
     @property
-    def _judged(self) -> list[Governor]:
-        """Of the fronts whose levels are judged."""
+    def _governors(self) -> list[Governor]:
+        """The governors of the fronts that have levels."""
         return [front.levels for front in self._fronts if front.levels is not None]
 
     def pin(self, level: Level, seconds: float, reason: str) -> None:
-        for levels in self._judged:
-            levels.pin(level, seconds, reason, self._loop.now)
+        """Holds all fronts at a level for so long, whatever the signals."""
+        for governor in self._governors:
+            governor.pin(level, seconds, reason, self._loop.now)
         self.log("level pinned", f"{level.label} for {seconds:.0f} s: {reason}", level=level.label)
 
     def unpin(self) -> None:
-        for levels in self._judged:
-            levels.unpin()
+        """Ends a pin; the levels follow the signals again."""
+        for governor in self._governors:
+            governor.unpin()
         self.log("level pin ended", "by an operator")
 
     def report(self) -> dict[str, Any]:
-        """Each front's level and recovery, for operators; None where they are off."""
+        """The level and the recovery of each front, for operators; None where they are off."""
         now = self._loop.now
-        levels = {front.front_name: front.levels for front in self._fronts}
+        governors = {front.front_name: front.levels for front in self._fronts}
         recoveries = {front.front_name: front.recovery for front in self._fronts}
         return {
-            "levels": {whose: one.report(now) if one else None for whose, one in levels.items()},
-            "recovery": {whose: one.report(now) if one else None for whose, one in recoveries.items()},
+            "levels": {name: one.report(now) if one else None for name, one in governors.items()},
+            "recovery": {name: one.report(now) if one else None for name, one in recoveries.items()},
         }
--- a/yewhook/service_settings.py
+++ b/yewhook/service_settings.py
@@ -1,4 +1,4 @@
-"""What the operators' file sets, as the program goes by it. Reading the file is `settings_file.py`'s."""
+"""The settings of the operators' file as the program uses them; `settings_file.py` reads the file."""
 
 from __future__ import annotations
 
@@ -15,14 +15,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PinSetting:
+    """A level that operators hold until a given time."""
+
     level: Level
-    until: float  # Unix time
+    until: float  # s, Unix time
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """The defaults are what holds without a file."""
+    """The settings of logging, levels and recovery; the defaults apply without a file."""
 
     log: LogFormat = LogFormat.CONSOLE
     levels: ServiceLevelSettings = field(default_factory=ServiceLevelSettings)
