--- a/tests/levels/test_admission.py
+++ b/tests/levels/test_admission.py
@@ -91,9 +91,7 @@
     swapped = interface.Settings(classes=SETTINGS.classes[::-1], roles=SETTINGS.roles, worth_by_work=True)
     assert top_classes(swapped, [1.0, 1.0]) == {0}
     by_request = interface.Settings(classes=SETTINGS.classes, roles=SETTINGS.roles)
-    assert top_classes(by_request, [1.0, 10.0]) == {
-        LOOKUP
-    }  # worth 2 for 1 unit of work is more than 5 for 10
+    assert top_classes(by_request, [1.0, 10.0]) == {LOOKUP}  # worth 2 for 1 of work is more than 5 for 10
     assert top_classes(SETTINGS, [1.0, 0.0]) == {LOG}  # a class without any traffic yet
 
 
--- a/tests/levels/test_at_a_router.py
+++ b/tests/levels/test_at_a_router.py
@@ -84,11 +84,11 @@
     router.settings = ServiceSettings(levels=replace(QUICK, target=0.5))
     router.service.reload()
     assert router.logged("reload refused: service.toml: levels.target")
-    assert router.front.levels is not None and router.front.levels.levels.target == QUICK.target
+    assert router.front.levels is not None and router.front.levels.level_settings.target == QUICK.target
     router.settings = ServiceSettings(levels=replace(QUICK, target=0.7))
     router.service.reload()
     assert router.logged("reloaded: the operators' settings are in force")
-    assert router.front.levels.levels.target == 0.7
+    assert router.front.levels.level_settings.target == 0.7
     router.settings = ServiceSettings()
     router.service.reload()
     router.play("wait 0.1")
--- a/tests/levels/test_estimators.py
+++ b/tests/levels/test_estimators.py
@@ -59,9 +59,8 @@
 def test_quantiles_decay_and_do_not_overflow() -> None:
     quantiles = Quantiles(3.0)
     for tick in range(20000):
-        quantiles.add(
-            5.0 if tick < 10000 else 0.5, 0.1 * tick
-        )  # more than 600 time constants: unscaled weights would overflow
+        # Over more than 600 time constants, unscaled weights would overflow.
+        quantiles.add(5.0 if tick < 10000 else 0.5, 0.1 * tick)
     assert quantiles.at(0.9, 2000.0, 4.0) == pytest.approx(0.5, rel=0.16)
     assert quantiles.at(0.9, 2100.0, 4.0) == 0.0  # the decayed number of samples is too small
 
--- a/yewhook/levels/admission.py
+++ b/yewhook/levels/admission.py
@@ -65,13 +65,13 @@
     `top` the top classes, and `late` the share of the worth that is answered late at present.
     """
     requested = [sum(kinds.values()) for kinds in demand]
-    weights = [tenant.share for tenant in settings.tenants] or [1.0]
+    weights = [client.share for client in settings.tenants] or [1.0]
     if not any(weights):
         weights = [1.0] * len(weights)
     allocated = max_min(requested, weights, capacity)
     return [
-        _admit_client(level, kinds, requested[n] - allocated[n], settings, top, late)
-        for n, kinds in enumerate(demand)
+        _admit_client(level, kinds, requested[tenant] - allocated[tenant], settings, top, late)
+        for tenant, kinds in enumerate(demand)
     ]
 
 
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -42,12 +42,12 @@
     turn: Turn
     session: str
     prompt_tokens: float
-    expires_at: float
+    expires_at: float  # s, when the entry is dropped if no answer has begun
     sent: bool = False
-    answered_at: float | None = None  # when its answer began
+    answered_at: float | None = None  # s, when its answer began
 
 
-# The usage of each role's servers at a time
+# Returns the usage of each role's servers at a time in seconds
 RoleUsageSource = Callable[[float], dict[Role, interface.RoleUsage]]
 
 
@@ -57,7 +57,7 @@
     def __init__(
         self,
         settings: interface.Settings,
-        levels: ServiceLevelSettings,
+        level_settings: ServiceLevelSettings,
         seed: int,
         now: float,
         process_health: Callable[[], ProcessHealth] = ProcessHealth,
@@ -65,11 +65,11 @@
         recovery: Recovery | None = None,
     ) -> None:
         """`changed` is called with each change of level."""
-        self.settings, self.levels, self.recovery = settings, levels, recovery
+        self.settings, self.level_settings, self.recovery = settings, level_settings, recovery
         self._process_health, self._changed = process_health, changed
-        self.level_state = LevelStateMachine(levels, Random(f"levels {seed}").random(), now)
+        self.level_state = LevelStateMachine(level_settings, Random(f"levels {seed}").random(), now)
         self.signals = Signals()
-        self._turns = Turns(settings, levels.long_turn)
+        self._turns = Turns(settings, level_settings.long_turn)
         self._demand = Demand(settings, now)
         self._discovery = DiscoveryHealth()
         self._late = DecayingRatio(LATE_TIME_CONSTANT_S, 0.0)
@@ -108,14 +108,14 @@
 
     def observe_actions(self, now: float, actions: Sequence[interface.Action]) -> None:
         """Counts what the module did with the requests."""
-        for act in actions:
-            if isinstance(act, interface.Send):
-                self._request_sent(act, now)
-            elif isinstance(act, interface.Refuse | interface.Fail):
-                entry = self._open.pop(act.id, None)
+        for action in actions:
+            if isinstance(action, interface.Send):
+                self._request_sent(action, now)
+            elif isinstance(action, interface.Refuse | interface.Fail):
+                entry = self._open.pop(action.id, None)
                 if entry is not None:
                     self._ended_unanswered(entry, now)
-                    if not (isinstance(act, interface.Refuse) and act.gave_way):
+                    if not (isinstance(action, interface.Refuse) and action.gave_way):
                         self._count_late(entry.turn, True, now, entry.sent)
 
     def start_over(self) -> None:
@@ -165,7 +165,7 @@
         if self.recovery is not None and self.recovery.active:
             top = top_classes(self.settings, self._turns.mean_work)
             share = min(share, float(self.recovery.admits(turn, top, now)))
-        return event._replace(admit=share) if share < 1.0 and self.levels.mode is Mode.ON else event
+        return event._replace(admit=share) if share < 1.0 and self.level_settings.mode is Mode.ON else event
 
     def _attempt_ended(self, event: interface.AttemptEnded, now: float) -> None:
         self._discovery.attempt_ended(event.server, event.outcome, now)
@@ -184,8 +184,8 @@
         if entry.answered_at is not None or event.closed:
             del self._open[event.id]
 
-    def _request_sent(self, act: interface.Send, now: float) -> None:
-        entry = self._open.get(act.id)
+    def _request_sent(self, action: interface.Send, now: float) -> None:
+        entry = self._open.get(action.id)
         if entry is None or entry.sent:
             return
         entry.sent = True
@@ -235,7 +235,9 @@
             return
         demand = [self._demand.arrival_rates(tenant, now) for tenant in range(self._demand.tenant_count)]
         possible = self._capacity.work_rate(now)
-        capacity = self._demand.arrival_rate(now) if possible is None else possible * self.levels.target
+        capacity = (
+            self._demand.arrival_rate(now) if possible is None else possible * self.level_settings.target
+        )
         top = top_classes(self.settings, self._turns.mean_work)
         self._shares = admit(self.level_state.level, demand, capacity, self.settings, top, self.signals.late)
 
@@ -283,7 +285,7 @@
 
     def _level_events(self, now: float) -> list[interface.Event]:
         """The level of service for the module, if it differs from the one passed to it last."""
-        level, settings = self.level_state.level, self.levels
+        level, settings = self.level_state.level, self.level_settings
         event = interface.ServiceLevel()
         if level is not Level.FULL and settings.mode is Mode.ON:
             # Once calm, turns may wait for room again: the level itself is left only after a long calm.
@@ -307,11 +309,11 @@
         """Ends a pin at the next evaluation."""
         self.level_state.set_pin(None)
 
-    def configure(self, levels: ServiceLevelSettings, now: float) -> None:
+    def configure(self, level_settings: ServiceLevelSettings, now: float) -> None:
         """Replaces the settings; a level that they do not configure is left at once."""
-        self.levels = levels
-        self._turns.long_turn_factor = levels.long_turn
-        change = self.level_state.configure(levels, now)
+        self.level_settings = level_settings
+        self._turns.long_turn_factor = level_settings.long_turn
+        change = self.level_state.configure(level_settings, now)
         if change is not None:
             self._changed(change)
         self._next_evaluation = now
@@ -325,7 +327,7 @@
         pin = self.level_state.pin
         level = self.level_state.level
         return {
-            "mode": self.levels.mode.value,
+            "mode": self.level_settings.mode.value,
             "level": level.label,
             "meaning": LEVEL_DESCRIPTIONS[level],
             "since_s": round(now - self.level_state.since, 1),
--- a/yewhook/levels/level.py
+++ b/yewhook/levels/level.py
@@ -49,7 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Signals:
-    """The measurements that decide the level at one moment. 0 is best for each; higher is worse."""
+    """The measurements that decide the level at one moment. 0 is best for each; higher is worse.
+
+    The aim of a turn is the time within which its first token is wanted, its worth the value of answering it
+    within that time.
+    """
 
     load: float = 0.0  # work requested over the work possible at the scarcer of reading and writing
     late: float = 0.0  # worth answered after its aim, or refused for lack of room or time, over all worth
--- a/yewhook/levels/level_state.py
+++ b/yewhook/levels/level_state.py
@@ -59,9 +59,9 @@
 
     def required_calm(self, level: Level) -> float:
         """Seconds of calm that are now required to leave this level."""
-        s = self.settings
-        base = s.leave_after * (1.0 + s.leave_spread * self._spread)
-        return min(s.leave_most, base * self._backoff.get(level, 1.0))
+        settings = self.settings
+        base = settings.leave_after * (1.0 + settings.leave_spread * self._spread)
+        return min(settings.leave_most, base * self._backoff.get(level, 1.0))
 
     def step(self, now: float, signals: Signals) -> Change | None:
         """Evaluates the signals once. Returns the change of level that they cause, if any."""
@@ -73,6 +73,7 @@
         return self._degrade(now, signals) or self._improve(now, signals)
 
     def _degrade(self, now: float, signals: Signals) -> Change | None:
+        """Enters the worst level of which some condition held for `confirm` seconds, if any."""
         for level in reversed(self.settings.known[1:]):
             found = self._exceeded_condition(level, signals)
             if found is None:
@@ -102,6 +103,7 @@
         self._backoff[level] = min(factor * backoff, most) if failed else max(1.0, factor / backoff)
 
     def _improve(self, now: float, signals: Signals) -> Change | None:
+        """Goes to the next better level after the calm required."""
         if self.level is Level.FULL:
             return None
         conditions = self.settings.levels[self.level].conditions
--- a/yewhook/levels/settings.py
+++ b/yewhook/levels/settings.py
@@ -27,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelSettings:
-    """Conditions of one level: any one enters it, and all must be below `leave` before it is left."""
+    """Conditions of one level: any one enters it.
+
+    While all signals are below their `leave` the router is calm; the level is left after some time of calm.
+    """
 
     conditions: Mapping[str, Threshold]  # by signal name
     retry_after: tuple[float, float] = (0.3, 0.8)  # s, shortest and longest advice to refused clients
