--- a/hopshed/simhost.py
+++ b/hopshed/simhost.py
@@ -1,4 +1,7 @@
-"""Hosts one Controller for each router instance of the simulator and speaks its wire. It only translates."""
+"""Runs one Controller for each router instance of the simulator: JSON lines on stdin, replies on stdout.
+
+Translates between the simulator's messages and the controllers. Takes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -6,67 +9,70 @@
 import sys
 from typing import IO, Any
 
-from . import interface as i
 from . import wire
 from .control import Controller
+from .interface import Event, ListKind, Server, ServersListed
 
 
-class BadInput(Exception):
-    """A line that is not part of the wire."""
+class ProtocolError(Exception):
+    """An input line does not follow the wire format. The message has its number and what was expected."""
 
 
 class Host:
+    """The controllers of all instances, by the instance's name."""
+
     def __init__(self) -> None:
         self.controllers: dict[str, Controller] = {}
-        self.columns: dict[str, list[str]] = {}
-        self.sheets: dict[int, tuple[i.Server, ...]] = {}
+        self.columns: dict[str, list[str]] = {}  # instance -> columns of its load reports
+        self.directories: dict[int, tuple[Server, ...]] = {}  # lists of servers by their number
 
     def batch(self, now: float, messages: list[list[Any]]) -> list[str]:
-        """Answer one batch: each instance gets its own events, in order, in one call."""
+        """Process one batch and return the reply lines; each instance handles its events in one call."""
         out: list[str] = []
-        pending: dict[str, list[i.Event]] = {}
+        pending: dict[str, list[Event]] = {}
 
-        for msg in messages:
-            name = msg[0]
+        for message in messages:
+            name = message[0]
             if name == "directory":
-                self.sheets[msg[1]] = tuple(wire.server(row) for row in msg[2])
+                self.directories[message[1]] = tuple(wire.server(row) for row in message[2])
                 continue
-            inst = msg[1]
+            instance = message[1]
             if name == "start":
-                self._run(inst, now, pending.pop(inst, []), out)
-                self.columns[inst] = wire.columns(msg[3])
+                self._run(instance, now, pending.pop(instance, []), out)
+                self.columns[instance] = wire.columns(message[3])
                 try:
-                    self.controllers[inst] = Controller(wire.settings(msg[3]), msg[2])
+                    self.controllers[instance] = Controller(wire.settings(message[3]), message[2])
                 except Exception as err:
-                    self.controllers.pop(inst, None)
-                    out.append(json.dumps(["bug", inst, f"start: {err}"]))
+                    self.controllers.pop(instance, None)
+                    out.append(json.dumps(["bug", instance, f"start: {err}"]))
             elif name == "stop":
-                # Actions for a killed instance would name requests that are void, so its events go too.
-                pending.pop(inst, None)
-                self.controllers.pop(inst, None)
+                # A stopped instance's requests no longer exist: actions for its events would name them.
+                pending.pop(instance, None)
+                self.controllers.pop(instance, None)
             elif name == "endpoints":
-                kind = wire.LISTS[msg[2]]
-                servers = () if kind is i.ListKind.FAILED else self.sheets[msg[3]]
-                pending.setdefault(inst, []).append(i.ServersListed(kind, servers))
+                kind = wire.LIST_KINDS[message[2]]
+                servers = () if kind is ListKind.FAILED else self.directories[message[3]]
+                pending.setdefault(instance, []).append(ServersListed(kind, servers))
             else:
-                event = wire.event(msg, self.columns.get(inst, []))
+                event = wire.event(message, self.columns.get(instance, []))
                 if event is not None:
-                    pending.setdefault(inst, []).append(event)
-        for inst, events in pending.items():
-            self._run(inst, now, events, out)
+                    pending.setdefault(instance, []).append(event)
+        for instance, events in pending.items():
+            self._run(instance, now, events, out)
         return out
 
-    def _run(self, inst: str, now: float, events: list[i.Event], out: list[str]) -> None:
-        controller = self.controllers.get(inst)
+    def _run(self, instance: str, now: float, events: list[Event], out: list[str]) -> None:
+        controller = self.controllers.get(instance)
         if controller is None or not events:
             return
         try:
-            out.extend(wire.action(inst, act) for act in controller.handle(now, events))
-        except Exception as err:  # the wire asks for the module's own failures to be told
-            out.append(json.dumps(["bug", inst, f"{type(err).__name__}: {err}"]))
+            out.extend(wire.encode_action(instance, action) for action in controller.handle(now, events))
+        except Exception as err:  # the wire format has a message for failures of the module itself
+            out.append(json.dumps(["bug", instance, f"{type(err).__name__}: {err}"]))
 
 
 def serve(stdin: IO[str], stdout: IO[str]) -> None:
+    """Process batches until the input ends. Raises ProtocolError for a line that cannot be processed."""
     host = Host()
     now = 0.0
     messages: list[list[Any]] = []
@@ -74,31 +80,34 @@
         if not line.strip():
             continue
         try:
-            msg = json.loads(line)
+            message = json.loads(line)
         except ValueError as err:
-            raise BadInput(f"line {number}: expected one JSON array, {err}") from None
-        if not isinstance(msg, list) or not msg or not isinstance(msg[0], str):
-            raise BadInput(f"line {number}: expected an array that begins with a message name")
+            raise ProtocolError(f"line {number}: expected one JSON array, {err}") from None
+        if not isinstance(message, list) or not message or not isinstance(message[0], str):
+            raise ProtocolError(f"line {number}: expected an array whose first element is a message name")
         try:
-            if msg[0] == "mark":
-                now = float(msg[1]) / 1000.0
+            if message[0] == "mark":
+                now = float(message[1]) / 1000.0
                 messages = []
-            elif msg[0] == "over-to-you":
+            elif message[0] == "over-to-you":
                 lines = host.batch(now, messages)
                 messages = []
                 stdout.write("\n".join([*lines, '["end"]\n']))
                 stdout.flush()
             else:
-                messages.append(msg)
+                messages.append(message)
         except (KeyError, IndexError, TypeError, ValueError) as err:
-            what = f"{type(err).__name__} {err}"
-            raise BadInput(f"line {number}: expected the values the wire page names, got {what}") from None
+            error = f"{type(err).__name__} {err}"
+            raise ProtocolError(
+                f"line {number}: expected the values of the wire format, got {error}"
+            ) from None
 
 
 def main() -> int:
+    """Serve standard input and output; the exit status."""
     try:
         serve(sys.stdin, sys.stdout)
-    except BadInput as err:
+    except ProtocolError as err:
         print(f"hopshed: {err}", file=sys.stderr)
         return 2
     return 0
--- a/hopshed/wire.py
+++ b/hopshed/wire.py
@@ -1,4 +1,7 @@
-"""Translation between the simulator's JSON lines and hopshed's interface. Nothing is decided here."""
+"""Translates between the simulator's JSON messages and the types of `interface`. Takes no decisions.
+
+The wire has times in milliseconds; `interface` has them in seconds.
+"""
 
 from __future__ import annotations
 
@@ -7,29 +10,37 @@
 import math
 from typing import Any
 
-from . import interface as i
+from . import interface
 
-ROLES = {"read": i.Role.READER, "write": i.Role.WRITER, "both": i.Role.MIXED}
-EFFECTS = {"repeatable": i.Effect.SAFE, "by_key": i.Effect.KEYED, "once": i.Effect.UNSAFE}
-STATES = {"Running": i.ServerState.RUNNING, "Stopping": i.ServerState.DRAINING, "Deleted": i.ServerState.GONE}
-LISTS = {
-    "INCREMENTAL": i.ListKind.CHANGES,
-    "FULL": i.ListKind.FULL,
-    "SAVED": i.ListKind.SAVED,
-    "FAILED": i.ListKind.FAILED,
+ROLES = {"read": interface.Role.READER, "write": interface.Role.WRITER, "both": interface.Role.MIXED}
+EFFECTS = {
+    "repeatable": interface.Effect.SAFE,
+    "by_key": interface.Effect.KEYED,
+    "once": interface.Effect.UNSAFE,
+}
+SERVER_STATES = {
+    "Running": interface.ServerState.RUNNING,
+    "Stopping": interface.ServerState.DRAINING,
+    "Deleted": interface.ServerState.GONE,
+}
+LIST_KINDS = {
+    "INCREMENTAL": interface.ListKind.CHANGES,
+    "FULL": interface.ListKind.FULL,
+    "SAVED": interface.ListKind.SAVED,
+    "FAILED": interface.ListKind.FAILED,
 }
 OUTCOMES = {
-    "Ok": i.Outcome.OK,
-    "READ": i.Outcome.READ,
-    "Failed": i.Outcome.FAILED,
-    "QueueFull": i.Outcome.FULL,
-    "TimedOut": i.Outcome.TIMED_OUT,
-    "ConnectError": i.Outcome.UNREACHABLE,
-    "ResetByPeer": i.Outcome.RESET,
-    "Canceled": i.Outcome.CANCELED,
-    "Ignored": i.Outcome.NOT_SENT,
+    "Ok": interface.Outcome.OK,
+    "READ": interface.Outcome.READ,
+    "Failed": interface.Outcome.FAILED,
+    "QueueFull": interface.Outcome.FULL,
+    "TimedOut": interface.Outcome.TIMED_OUT,
+    "ConnectError": interface.Outcome.UNREACHABLE,
+    "ResetByPeer": interface.Outcome.RESET,
+    "Canceled": interface.Outcome.CANCELED,
+    "Ignored": interface.Outcome.NOT_SENT,
 }
-# wire column -> (field of Load, factor to the interface's unit)
+# Column of a load report -> (field of Load, factor to the unit of that field)
 COLUMNS = {
     "active": ("in_flight", 1.0),
     "waiting": ("queued", 1.0),
@@ -40,52 +51,57 @@
     "x0": ("memory_share", 1.0),
     "x1": ("backlog_tokens", 1000.0),
 }
-RESUMED_BIT = 16
-REPEAT_BIT = 2
-HINT_BIT = 1
-RELEASE_WITHIN = 1.0  # s for which a state may be held, where the settings name no time
+# Bits of the flags in a `work-item` message
+RESUMED_BIT = 16  # the client resumes a stream
+REPEAT_BIT = 2  # the client repeats a request that was not served
+HINT_BIT = 1  # the message has a length hint
+DEFAULT_RELEASE_WITHIN_S = 1.0  # time for which state may be held, where the settings have none
 
 
 class SettingError(ValueError):
-    """A setting makes no sense; it says which, what it is and what was expected."""
+    """A setting has an invalid value. The message has its key, its value and what is expected."""
 
 
-def settings(env: dict[str, Any]) -> i.Settings:
-    """The settings that a `start` event carries; unknown keys are ignored."""
+def settings(env: dict[str, Any]) -> interface.Settings:
+    """Settings from the environment in a `start` message; unknown keys are ignored.
+
+    Raises SettingError or ValueError for invalid values and KeyError for missing or unknown ones."""
     caps, extra, contract = env.get("caps", {}), env.get("extra", {}), env.get("contract", {})
     report = env.get("report", {})
-    aims = extra.get("aim-us-per-1000-prompt-tokens") or []
-    paces = extra.get("token-aim-ms") or []
+    aims_per_1k = extra.get("aim-us-per-1000-prompt-tokens") or []
+    token_aims = extra.get("token-aim-ms") or []
     classes = tuple(
-        i.RequestClass(
-            aim=c["promise-ms"] / 1000.0,
-            aim_per_1k=(aims[n] if n < len(aims) else 0.0) / 1e6,
-            token_aim=(paces[n] if n < len(paces) else 0.0) / 1000.0,
-            patience=c["give-up-ms"] / 1000.0,
-            worth=c.get("worth", 1.0),
-            late_worth=c.get("late-worth", 0.0),
-            effect=EFFECTS[c.get("effect", "repeatable")],
-            group=i.Group(c.get("group") or "all"),
-            dedup_window=(c.get("dedup-window-ms") or 0.0) / 1000.0,
+        interface.RequestClass(
+            aim=entry["promise-ms"] / 1000.0,
+            aim_per_1k=(aims_per_1k[number] if number < len(aims_per_1k) else 0.0) / 1e6,
+            token_aim=(token_aims[number] if number < len(token_aims) else 0.0) / 1000.0,
+            patience=entry["give-up-ms"] / 1000.0,
+            worth=entry.get("worth", 1.0),
+            late_worth=entry.get("late-worth", 0.0),
+            effect=EFFECTS[entry.get("effect", "repeatable")],
+            group=interface.Group(entry.get("group") or "all"),
+            dedup_window=(entry.get("dedup-window-ms") or 0.0) / 1000.0,
         )
-        for n, c in enumerate(env.get("classes", []))
+        for number, entry in enumerate(env.get("classes", []))
     )
     tenants = tuple(
-        i.Tenant(quota_per_s=t.get("quota-per-s") or 0.0, share=t.get("share") or 0.0)
-        for t in env.get("customers") or []
+        interface.Tenant(quota_per_s=entry.get("quota-per-s") or 0.0, share=entry.get("share") or 0.0)
+        for entry in env.get("customers") or []
     )
-    how = report.get("how", "none")
+    mode = report.get("how", "none")
     columns = report.get("columns") or []
-    return i.Settings(
+    return interface.Settings(
         classes=classes,
-        roles=tuple(ROLES[r] for r in extra.get("kind-role", [])),
-        memory_tokens=tuple(float(m) for m in extra.get("memory-tokens") or []),
+        roles=tuple(ROLES[role] for role in extra.get("kind-role", [])),
+        memory_tokens=tuple(float(tokens) for tokens in extra.get("memory-tokens") or []),
         tenants=tenants,
         over_share_worth=env.get("over-share-worth", 1.0),
         instances=max(1, int(env.get("instances", 1))),
         zone=env.get("zone", 0),
-        report_fields=() if how == "none" else tuple(COLUMNS[c][0] for c in columns if c in COLUMNS),
-        reports_in_answers=how == "answers",
+        report_fields=()
+        if mode == "none"
+        else tuple(COLUMNS[name][0] for name in columns if name in COLUMNS),
+        reports_in_answers=mode == "answers",
         may_probe=bool(caps.get("probes")),
         may_cancel=bool(caps.get("may-cancel")),
         may_tell=bool(caps.get("may-tell")),
@@ -108,21 +124,23 @@
 
 
 def _release_within(extra: dict[str, Any]) -> float:
-    """s for which a state may be held; the default where the settings name none. Raises SettingError."""
-    told = extra.get("let-go-by-ms")
-    if told is None:
-        return RELEASE_WITHIN
-    number = isinstance(told, int | float) and not isinstance(told, bool)
-    if not number or not 0 < told < math.inf:
-        raise SettingError(f"extra.let-go-by-ms: got {told!r}, expected a number of milliseconds over 0")
-    return float(told) / 1000.0
+    """Seconds for which state may be held; the default where the key is missing. Raises SettingError."""
+    value = extra.get("let-go-by-ms")
+    if value is None:
+        return DEFAULT_RELEASE_WITHIN_S
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not 0 < value < math.inf:
+        raise SettingError(f"extra.let-go-by-ms: got {value!r}, expected a number of milliseconds above 0")
+    return float(value) / 1000.0
 
 
 def columns(env: dict[str, Any]) -> list[str]:
+    """Names of the columns of load reports, in their order."""
     return list(env.get("report", {}).get("columns") or [])
 
 
-def load(row: list[Any] | None, names: list[str]) -> i.Load | None:
+def load(row: list[Any] | None, names: list[str]) -> interface.Load | None:
+    """A load report from its columns' values; None where it holds nothing known."""
     if not row:
         return None
     values: dict[str, float] = {}
@@ -130,88 +148,94 @@
         if name in COLUMNS and value is not None:
             field, factor = COLUMNS[name]
             values[field] = value * factor
-    return i.Load(**values) if values else None
+    return interface.Load(**values) if values else None
 
 
-def server(row: list[Any]) -> i.Server:
+def server(row: list[Any]) -> interface.Server:
+    """A server from an entry of a `directory` message."""
     started = row[0] / 1000.0 if row[0] else None
     kind = row[6] if len(row) > 6 and row[6] is not None else 0
     weight = 1.0 if row[2] is None else float(row[2])
-    return i.Server(row[1], kind, row[4] or 0, row[3] or 0, STATES[row[5]], started, weight)
+    return interface.Server(row[1], kind, row[4] or 0, row[3] or 0, SERVER_STATES[row[5]], started, weight)
+
 
+def event(message: list[Any], names: list[str]) -> interface.Event | None:
+    """An event of an instance; `names` are the columns of load reports.
 
-def event(msg: list[Any], names: list[str]) -> i.Event | None:
-    """One instance event other than start, stop, directory and endpoints; None for kinds not used here."""
-    msg = msg + [None] * 14
-    match msg[0]:
+    None for messages that are no event of the module. Not for start, stop, directory and endpoints."""
+    message = message + [None] * 14
+    match message[0]:
         case "work-item":
-            flags = int(msg[12] or 0)
-            hint = msg[7] / 1000.0 if flags & HINT_BIT and msg[7] else None
-            return i.RequestArrived(
-                msg[2],
-                msg[3] or 0,
-                msg[4] or 0,
-                msg[5] or "",
-                (msg[6] or 0.0) / 1000.0,
-                msg[9] or 0.0,
-                msg[8] or None,
-                msg[10] or 0.0,
-                msg[11] or 0.0,
+            flags = int(message[12] or 0)
+            hint = message[7] / 1000.0 if flags & HINT_BIT and message[7] else None
+            return interface.RequestArrived(
+                message[2],
+                message[3] or 0,
+                message[4] or 0,
+                message[5] or "",
+                (message[6] or 0.0) / 1000.0,
+                message[9] or 0.0,
+                message[8] or None,
+                message[10] or 0.0,
+                message[11] or 0.0,
                 hint,
                 bool(flags & RESUMED_BIT),
                 bool(flags & REPEAT_BIT),
             )
         case "flowing":
-            return i.StreamStarted(msg[2], msg[3], msg[4], (msg[5] or 0.0) / 1000.0)
+            return interface.StreamStarted(message[2], message[3], message[4], (message[5] or 0.0) / 1000.0)
         case "finished":
-            return i.AttemptEnded(
-                msg[2],
-                msg[3],
-                msg[4],
-                OUTCOMES[msg[5]],
-                (msg[6] or 0.0) / 1000.0,
-                bool(msg[7]),
-                int(msg[8] or 0),
-                load(msg[9], names),
+            return interface.AttemptEnded(
+                message[2],
+                message[3],
+                message[4],
+                OUTCOMES[message[5]],
+                (message[6] or 0.0) / 1000.0,
+                bool(message[7]),
+                int(message[8] or 0),
+                load(message[9], names),
             )
         case "hangup":
-            return i.ClientGone(msg[2])
+            return interface.ClientGone(message[2])
         case "pong":
-            return i.ProbeEnded(msg[3], msg[4] == "Ok", (msg[2] or 0.0) / 1000.0, load(msg[5], names))
+            return interface.ProbeEnded(
+                message[3], message[4] == "Ok", (message[2] or 0.0) / 1000.0, load(message[5], names)
+            )
         case "fired":
-            return i.TimerFired(msg[2])
+            return interface.TimerFired(message[2])
         case "peer-data":
-            return i.PeerSaid(msg[2], base64.b64decode(msg[3] or ""))
+            return interface.PeerSaid(message[2], base64.b64decode(message[3] or ""))
     return None
 
 
-def ms(seconds: float) -> float:
-    """Milliseconds, kept to the microsecond."""
+def to_ms(seconds: float) -> float:
+    """Milliseconds, rounded to microseconds."""
     return round(seconds * 1000.0, 3)
 
 
-def action(inst: str, act: i.Action) -> str:
-    match act:
-        case i.Send(rid, srv, timeout):
-            row: list[Any] = ["call-out", inst, rid, srv, ms(timeout)]
-        case i.Refuse(rid, after):
-            row = ["bounce", inst, rid, ms(after)]
-        case i.Fail(rid):
-            row = ["error", inst, rid]
-        case i.ReleaseState(rid):
-            row = ["clear-state", inst, rid]
-        case i.CancelAttempt(rid, attempt):
-            row = ["stop-attempt", inst, rid, attempt]
-        case i.MoveStream(rid):
-            row = ["reassign", inst, rid]
-        case i.Probe(srv):
-            row = ["check", inst, srv]
-        case i.SetTimer(delay, token):
-            row = ["remind", inst, ms(delay), token]
-        case i.Subscribe():
-            row = ["tail", inst, True]
-        case i.Log(text):
-            row = ["print", inst, text]
-        case i.Tell(data):
-            row = ["share", inst, "all", base64.b64encode(data).decode()]
+def encode_action(instance: str, action: interface.Action) -> str:
+    """The JSON line for an action of a router instance."""
+    match action:
+        case interface.Send(request_id, server_id, timeout):
+            row: list[Any] = ["call-out", instance, request_id, server_id, to_ms(timeout)]
+        case interface.Refuse(request_id, retry_after):
+            row = ["bounce", instance, request_id, to_ms(retry_after)]
+        case interface.Fail(request_id):
+            row = ["error", instance, request_id]
+        case interface.ReleaseState(request_id):
+            row = ["clear-state", instance, request_id]
+        case interface.CancelAttempt(request_id, attempt):
+            row = ["stop-attempt", instance, request_id, attempt]
+        case interface.MoveStream(request_id):
+            row = ["reassign", instance, request_id]
+        case interface.Probe(server_id):
+            row = ["check", instance, server_id]
+        case interface.SetTimer(delay, token):
+            row = ["remind", instance, to_ms(delay), token]
+        case interface.Subscribe():
+            row = ["tail", instance, True]
+        case interface.Log(text):
+            row = ["print", instance, text]
+        case interface.Tell(data):
+            row = ["share", instance, "all", base64.b64encode(data).decode()]
     return json.dumps(row, separators=(",", ":"))
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -133,7 +133,7 @@
 def test_on_the_simulators_wire() -> None:
     word = gossip().failed(2**40, 1.0)
     assert word is not None
-    row = wire.action("router/1", Tell(word))
+    row = wire.encode_action("router/1", Tell(word))
     assert row.startswith('["share","router/1","all","')
     said = row.split('"')[-2]
     assert wire.event(["peer-data", "router/2", 1, said], []) == PeerSaid(1, word)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -1,4 +1,7 @@
-"""Runs `sim` from the deploy file on hand-written batches, in one process and three, under two hash seeds."""
+"""Runs the deploy file's `sim` command on hand-written batches.
+
+Its actions must not depend on how many instances share a process, nor on Python's hash seed.
+"""
 
 from __future__ import annotations
 
@@ -44,12 +47,15 @@
 
 
 def command() -> str:
+    """The `sim` command, with this interpreter."""
     sim = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
-    # CI has its own virtual environment; only the interpreter's path differs from what is deployed.
+    # Continuous integration has its own virtual environment: only the interpreter's path is replaced.
     return sim.replace(".venv/bin/python", sys.executable)
 
 
 class Sim:
+    """A process that runs the `sim` command."""
+
     def __init__(self, hash_seed: str) -> None:
         self.proc = subprocess.Popen(
             ["/bin/sh", "-c", command()],
@@ -61,6 +67,7 @@
         )
 
     def batch(self, now: float, events: list) -> list:
+        """Send one batch at a time in milliseconds; the reply lines without the closing one."""
         lines = [["mark", now], *events, ["over-to-you"]]
         self.proc.stdin.write("".join(json.dumps(line) + "\n" for line in lines))
         self.proc.stdin.flush()
@@ -70,77 +77,92 @@
         return reply
 
     def close(self) -> int:
+        """Close the input and wait for the process; its exit status."""
         self.proc.stdin.close()
         code = self.proc.wait(timeout=20)
         self.proc.stdout.close()
         return code
 
 
-def play(hosted: list[list[str]], hash_seed: str) -> dict[str, list]:
-    """A short day with each group of instances in a process of its own; the actions of each instance."""
+def run_instances(hosted: list[list[str]], hash_seed: str) -> dict[str, list]:
+    """Run a short simulation with one process for each list of instances; the actions of each instance."""
     sims = [(names, Sim(hash_seed)) for names in hosted]
-    actions: dict[str, list] = {inst: [] for inst in INSTANCES}
+    actions: dict[str, list] = {instance: [] for instance in INSTANCES}
     attempts: dict[str, int] = {}
-    todo: dict[str, list] = {inst: [] for inst in INSTANCES}
+    pending: dict[str, list] = {instance: [] for instance in INSTANCES}
     for step in range(40):
         now = 1000.0 + step * 50.0
         for names, sim in sims:
             events: list = [["directory", 3, WORKERS]] if step == 0 else []
-            for inst in names:
+            for instance in names:
                 if step == 0:
-                    events += [["start", inst, 7, ENV], ["endpoints", inst, "SAVED", 3, 1]]
-                events += todo.pop(inst, [])
+                    events += [["start", instance, 7, ENV], ["endpoints", instance, "SAVED", 3, 1]]
+                events += pending.pop(instance, [])
                 if step % 3 == 0:
-                    rid = f"{inst}:{step}"
+                    request = f"{instance}:{step}"
                     events.append(
-                        ["work-item", inst, rid, 0, 0, f"s{step % 6}", 4000.0, None, "p", 900, 600, 99, 64]
+                        [
+                            "work-item",
+                            instance,
+                            request,
+                            0,
+                            0,
+                            f"s{step % 6}",
+                            4000.0,
+                            None,
+                            "p",
+                            900,
+                            600,
+                            99,
+                            64,
+                        ]
                     )
-            for act in sim.batch(now, events):
-                inst = act[1]
-                actions[inst].append(act)
-                later = todo.setdefault(inst, [])
-                if act[0] == "call-out":
-                    n = attempts[act[2]] = attempts.get(act[2], -1) + 1
-                    read = act[3] < 20
-                    later.append(
+            for action in sim.batch(now, events):
+                instance = action[1]
+                actions[instance].append(action)
+                next_events = pending.setdefault(instance, [])
+                if action[0] == "call-out":
+                    attempt = attempts[action[2]] = attempts.get(action[2], -1) + 1
+                    is_read = action[3] < 20
+                    next_events.append(
                         [
                             "finished",
-                            inst,
-                            act[2],
-                            n,
-                            act[3],
-                            "READ" if read else "Ok",
+                            instance,
+                            action[2],
+                            attempt,
+                            action[3],
+                            "READ" if is_read else "Ok",
                             50.0,
-                            not read,
+                            not is_read,
                             0,
                             None,
                         ]
                     )
-                elif act[0] == "remind":
-                    later.append(["fired", inst, act[3]])
+                elif action[0] == "remind":
+                    next_events.append(["fired", instance, action[3]])
     assert [sim.close() for _, sim in sims] == [0] * len(sims)
     return actions
 
 
-def test_same_actions_in_one_process_and_three_and_under_two_hash_seeds():
-    one = play([INSTANCES], "1")
-    assert one == play([[inst] for inst in INSTANCES], "1")
-    assert one == play([INSTANCES], "2")
-    for inst in INSTANCES:
-        sent = [a for a in one[inst] if a[0] == "call-out"]
-        assert len(sent) == 27  # 14 turns, the last one still being read
+def test_actions_depend_neither_on_processes_nor_on_the_hash_seed():
+    one = run_instances([INSTANCES], "1")
+    assert one == run_instances([[instance] for instance in INSTANCES], "1")
+    assert one == run_instances([INSTANCES], "2")
+    for instance in INSTANCES:
+        sent = [action for action in one[instance] if action[0] == "call-out"]
+        assert len(sent) == 27  # 14 requests; the last one is still being read
 
 
-def test_stop_forgets_and_numbers_of_lists_are_resolved_in_order():
+def test_stop_drops_pending_events_and_reused_directory_numbers_resolve_in_order():
     sim = Sim("1")
-    new = [[None, 31, 1, 0, 0, "Running", 0]]
+    replacement = [[None, 31, 1, 0, 0, "Running", 0]]
     reply = sim.batch(
         0.0,
         [
             ["directory", 0, WORKERS[:1]],
             ["start", "router/0", 1, ENV],
             ["endpoints", "router/0", "SAVED", 0, 1],
-            ["directory", 0, new],
+            ["directory", 0, replacement],
             ["start", "router/1", 1, ENV],
             ["endpoints", "router/1", "SAVED", 0, 1],
             *[
@@ -149,14 +171,17 @@
             ],
         ],
     )
-    assert {a[1]: a[3] for a in reply if a[0] == "call-out"} == {"router/0": 11, "router/1": 31}
+    assert {action[1]: action[3] for action in reply if action[0] == "call-out"} == {
+        "router/0": 11,
+        "router/1": 31,
+    }
     reply = sim.batch(50.0, [["hangup", "router/1", "c:1"], ["stop", "router/1"]])
-    assert [a for a in reply if a[1] == "router/1"] == []
+    assert [action for action in reply if action[1] == "router/1"] == []
     assert sim.close() == 0
 
 
-def test_bad_input_is_named_on_standard_error():
-    for text, part in (
+def test_invalid_input_is_reported_on_standard_error():
+    for text, message in (
         ("nonsense\n", "line 1: expected one JSON array"),
         ('["mark",1]\n["finished","router/0"]\n["over-to-you"]\n', "line 3: expected the values"),
     ):
@@ -171,12 +196,12 @@
             timeout=20,
             check=False,
         )
-        assert done.returncode != 0 and part in done.stderr and "Traceback" not in done.stderr
+        assert done.returncode != 0 and message in done.stderr and "Traceback" not in done.stderr
 
 
-def test_a_failing_module_is_reported_for_its_instance():
+def test_a_failure_of_the_module_is_reported_for_its_instance():
     sim = Sim("1")
-    bad = ENV | {"classes": []}
-    (bug,) = sim.batch(0.0, [["start", "router/0", 1, bad]])
+    invalid = ENV | {"classes": []}
+    (bug,) = sim.batch(0.0, [["start", "router/0", 1, invalid]])
     assert bug[:2] == ["bug", "router/0"] and "class" in bug[2]
     sim.close()
