--- a/hopshed/backlog.py
+++ b/hopshed/backlog.py
@@ -27,47 +27,51 @@
 
     queue: float = 0.0  # at `at`, in s of a server of the common pace
     at: float = -math.inf
-    sent: float = 0.0  # all that was ever sent
-    excess: Estimate = field(default_factory=Estimate)  # what reads waited beyond the queue that was believed
-    rate: Estimate = field(default_factory=Estimate)
-    slower: Estimate = field(default_factory=Estimate)  # how much slower than the common pace; 0 = not at all
+    total_sent: float = 0.0  # all that was ever sent
+    unexplained_wait: Estimate = field(
+        default_factory=Estimate
+    )  # what reads waited beyond the queue that was believed
+    read_rate: Estimate = field(default_factory=Estimate)
+    extra_slowdown: Estimate = field(
+        default_factory=Estimate
+    )  # how much slower than the common pace; 0 = not at all
 
     def wait(self, now: float) -> float:
         """How long a read that is sent now has to wait."""
-        return self._left(now) * self.stretch(now) + self.excess.decayed(now, EXCESS_FADES)
+        return self._remaining(now) * self.slowdown(now) + self.unexplained_wait.decayed(now, EXCESS_FADES)
 
-    def stretch(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """How many times the common pace's time a read takes there."""
-        return 1.0 + self.slower.decayed(now, SLOW_FADES)
+        return 1.0 + self.extra_slowdown.decayed(now, SLOW_FADES)
 
-    def _left(self, now: float) -> float:
-        return max(0.0, self.queue - (now - self.at) / self.stretch(now)) if self.queue else 0.0
+    def _remaining(self, now: float) -> float:
+        return max(0.0, self.queue - (now - self.at) / self.slowdown(now)) if self.queue else 0.0
 
     def add(self, work: float, now: float) -> float:
         """A read is sent there; returns its mark for `read`."""
-        self.queue, self.at = min(QUEUE_MOST, self._left(now) + work), now
-        self.sent += work
-        self.rate.add(work / RATE_MEMORY, now, RATE_MEMORY)
-        return self.sent
+        self.queue, self.at = min(QUEUE_MOST, self._remaining(now) + work), now
+        self.total_sent += work
+        self.read_rate.add(work / RATE_MEMORY, now, RATE_MEMORY)
+        return self.total_sent
 
-    def read(self, mark: float, took: float, expected: float, now: float) -> None:
+    def read_ended(self, mark: float, took: float, expected: float, now: float) -> None:
         """A read has ended: what was sent before it has been read, what came after it has not.
 
         `took`, `expected` = s, the latter as believed when it was sent."""
-        ratio = self.stretch(now) * (took + LEAST) / (expected + LEAST)
-        self.slower.learn(min(SLOW_MOST, max(1.0, ratio)) - 1.0, now, SLOW_GAIN, SLOW_FADES)
-        self.queue, self.at = min(QUEUE_MOST, self.sent - mark), now
+        ratio = self.slowdown(now) * (took + LEAST) / (expected + LEAST)
+        self.extra_slowdown.learn(min(SLOW_MOST, max(1.0, ratio)) - 1.0, now, SLOW_GAIN, SLOW_FADES)
+        self.queue, self.at = min(QUEUE_MOST, self.total_sent - mark), now
 
-    def waited(self, wait: float, believed: float, now: float) -> float:
+    def wait_observed(self, wait: float, believed: float, now: float) -> float:
         """A read waited so long where so much was believed; returns what the queue did not explain."""
         excess = max(0.0, wait - believed)
-        self.excess.learn(excess, now, EXCESS_GAIN, EXCESS_FADES)
+        self.unexplained_wait.learn(excess, now, EXCESS_GAIN, EXCESS_FADES)
         return excess
 
-    def told(self, excess: float, now: float) -> None:
+    def wait_reported(self, excess: float, now: float) -> None:
         """Another router waited so much longer than the queue explains."""
-        self.excess = Estimate(max(excess, self.excess.decayed(now, EXCESS_FADES)), now)
+        self.unexplained_wait = Estimate(max(excess, self.unexplained_wait.decayed(now, EXCESS_FADES)), now)
 
-    def share(self, now: float) -> float:
+    def read_share(self, now: float) -> float:
         """The part of its time that the server spends on reading, of late."""
-        return self.rate.decayed(now, RATE_MEMORY)
+        return self.read_rate.decayed(now, RATE_MEMORY)
--- a/hopshed/fleet.py
+++ b/hopshed/fleet.py
@@ -25,7 +25,7 @@
         self._running = set[int]()  # those that `running` has
         self._gone: dict[int, Worker] = {}
 
-    def index(self) -> None:
+    def rebuild(self) -> None:
         """Take in a whole list."""
         workers = list(self.workers.values())
         for role in Role:
@@ -35,7 +35,7 @@
         self._running = {w.info.id for of_role in self.running.values() for w in of_role}
         self._gone = {w.info.id: w for w in workers if w.gone_at < math.inf}
 
-    def changed(self, workers: Iterable[Worker]) -> None:
+    def update(self, workers: Iterable[Worker]) -> None:
         """Take in changes to a list, or servers that have been added at the end of `workers`."""
         back = set[Role]()  # the roles of servers that have stopped running and run again
         for w in workers:
@@ -66,11 +66,11 @@
         self.running[w.role].append(w)
         return set()
 
-    def forget_gone(self, before: float) -> list[int]:
+    def remove_gone(self, before: float) -> list[int]:
         """Drop the servers that have been gone since before then; their numbers."""
         numbers = [number for number, w in self._gone.items() if w.gone_at < before]
         for number in numbers:
             del self.workers[number]
         if numbers:
-            self.index()
+            self.rebuild()
         return numbers
--- a/hopshed/handover.py
+++ b/hopshed/handover.py
@@ -68,18 +68,23 @@
     names = [field.name for field in fields(LearnedServer)]
     return LearnedState(
         servers={n: LearnedServer(*(getattr(w, name) for name in names)) for n, w in c.workers.items()},
-        work={n: w.work for n, w in c.workers.items()},
+        work={n: w.work_rate for n, w in c.workers.items()},
         sessions=list(c.sessions.items())[-SESSIONS_MOST:],
         kept=[(n, key, used) for (n, key), used in list(c.prefix_cache.uses.items())[-KEPT_MOST:]],
         seen=list(c.popularity.seen.items()),
         waits=c.waits.by_role,
-        pace=c.paces.of,
-        paced=c.paces.learnt,
-        means=(c.mean_prompt, c.mean_fresh, c.room.context, c.waits.gap),
-        by_class=list(zip(c.stream_time, c.class_tokens, strict=True)),
-        by_tenant=list(zip(c.leaving, c.leave_age, strict=True)),
+        pace=c.paces.by_role,
+        paced=c.paces.samples,
+        means=(
+            c.mean_prompt_tokens,
+            c.mean_fresh_tokens,
+            c.room.mean_request_tokens,
+            c.waits.mean_arrival_gap,
+        ),
+        by_class=list(zip(c.mean_stream_time, c.mean_class_tokens, strict=True)),
+        by_tenant=list(zip(c.leaving_share, c.mean_leaving_age, strict=True)),
         quotas=[(bucket.level, bucket.at) for bucket in c.quotas.buckets],
-        words=c.gossip.words(),
+        words=c.gossip.export(),
     )
 
 
@@ -87,25 +92,27 @@
     """Let a controller that has heard its list, and nothing else, go on from another's knowledge.
 
     Raises ValueError where the two were made for other settings; then nothing has changed."""
-    if len(known.by_class) != len(c.stream_time) or len(known.by_tenant) != len(c.leaving):
+    if len(known.by_class) != len(c.mean_stream_time) or len(known.by_tenant) != len(c.leaving_share):
         raise ValueError("other classes or tenants")
     for number, learnt in known.servers.items():
         if (worker := c.workers.get(number)) is not None:
             for field in fields(LearnedServer):
                 setattr(worker, field.name, getattr(learnt, field.name))
-            worker.work = known.work.get(number, Estimate())
-            worker.settled = False
-    c.slow_start.changed()
+            worker.work_rate = known.work.get(number, Estimate())
+            worker.known_usable = False
+    c.slow_start.invalidate()
     c.sessions, c.popularity.seen = dict(known.sessions), dict(known.seen)
     c.prefix_cache.uses = {(number, key): used for number, key, used in known.kept}
-    c.waits.by_role, c.waits.came = c.waits.by_role | known.waits, now
-    c.paces.resume(known.pace, known.paced)
-    c.mean_prompt, c.mean_fresh, c.room.context, c.waits.gap = known.means
-    c.stream_time, c.class_tokens = (list(part) for part in zip(*known.by_class, strict=True))
-    c.leaving, c.leave_age = (list(part) for part in zip(*known.by_tenant, strict=True))
+    c.waits.by_role, c.waits.last_arrival = c.waits.by_role | known.waits, now
+    c.paces.restore(known.pace, known.paced)
+    c.mean_prompt_tokens, c.mean_fresh_tokens, c.room.mean_request_tokens, c.waits.mean_arrival_gap = (
+        known.means
+    )
+    c.mean_stream_time, c.mean_class_tokens = (list(part) for part in zip(*known.by_class, strict=True))
+    c.leaving_share, c.mean_leaving_age = (list(part) for part in zip(*known.by_tenant, strict=True))
     for bucket, told in zip(c.quotas.buckets, known.quotas, strict=False):
         bucket.level, bucket.at = told
-    c.gossip.resume(known.words)
+    c.gossip.restore(known.words)
 
 
 def merge_state(c: Controller, known: LearnedState) -> None:
@@ -114,23 +121,25 @@
     Of servers only those count that it has not met yet."""
     for number, learnt in known.servers.items():
         worker = c.workers.get(number)
-        if worker is not None and not worker.work.value:
+        if worker is not None and not worker.work_rate.value:
             for name in REMINDED:
                 setattr(worker, name, getattr(learnt, name))
-            worker.settled = False
-    c.slow_start.changed()
+            worker.known_usable = False
+    c.slow_start.invalidate()
     c.sessions = dict(known.sessions) | c.sessions
     c.prefix_cache.uses = {(number, key): used for number, key, used in known.kept} | c.prefix_cache.uses
     c.popularity.seen = dict(known.seen) | c.popularity.seen
-    mine = {role: pace for role, pace in c.paces.of.items() if pace}
-    c.paces.resume(known.pace | mine, c.paces.learnt or known.paced)
-    if len(known.by_class) == len(c.stream_time):
+    mine = {role: pace for role, pace in c.paces.by_role.items() if pace}
+    c.paces.restore(known.pace | mine, c.paces.samples or known.paced)
+    if len(known.by_class) == len(c.mean_stream_time):
         times, tokens = zip(*known.by_class, strict=True)
-        c.stream_time = [mine or theirs for mine, theirs in zip(c.stream_time, times, strict=True)]
-        c.class_tokens = [mine or theirs for mine, theirs in zip(c.class_tokens, tokens, strict=True)]
+        c.mean_stream_time = [mine or theirs for mine, theirs in zip(c.mean_stream_time, times, strict=True)]
+        c.mean_class_tokens = [
+            mine or theirs for mine, theirs in zip(c.mean_class_tokens, tokens, strict=True)
+        ]
     prompt, fresh, context, _ = known.means
-    c.mean_prompt, c.mean_fresh = c.mean_prompt or prompt, c.mean_fresh or fresh
-    c.room.context = c.room.context or context
+    c.mean_prompt_tokens, c.mean_fresh_tokens = c.mean_prompt_tokens or prompt, c.mean_fresh_tokens or fresh
+    c.room.mean_request_tokens = c.room.mean_request_tokens or context
     for bucket, told in zip(c.quotas.buckets, known.quotas, strict=False):
         if bucket.at == 0.0:  # untouched
             bucket.level, bucket.at = told
--- a/hopshed/health.py
+++ b/hopshed/health.py
@@ -6,8 +6,8 @@
 
 from .gossip import Gossip
 from .interface import Role, ServerState, Settings
-from .queue_waits import Waits
-from .read_pace import Paces
+from .queue_waits import QueueWaits
+from .read_pace import ReadPaces
 from .state import Worker
 from .zone_reachability import ZoneReachability
 
@@ -27,20 +27,20 @@
     """What a router has seen of its servers' health."""
 
     def __init__(
-        self, settings: Settings, zones: ZoneReachability, gossip: Gossip, waits: Waits, paces: Paces
+        self, settings: Settings, zones: ZoneReachability, gossip: Gossip, waits: QueueWaits, paces: ReadPaces
     ) -> None:
         self._may_probe = settings.may_probe
         self._zones, self._gossip, self._waits, self._paces = zones, gossip, waits, paces
 
-    def answered(self, w: Worker, now: float) -> None:
+    def attempt_succeeded(self, w: Worker, now: float) -> None:
         """An attempt there has ended well, or has its first token."""
-        self._zones.alive(w.info.zone)
-        w.life, w.trial, w.probe_fails = now, False, 0
+        self._zones.server_answered(w.info.zone)
+        w.life, w.trial, w.probe_failures = now, False, 0
         w.errors *= 1 - ERROR_GAIN
         if now > w.ejected + EJECT_MAX:
             w.ejections = 0
 
-    def failed(self, w: Worker, now: float) -> bool:
+    def attempt_failed(self, w: Worker, now: float) -> bool:
         """An attempt there has failed; whether the server is to be ejected.
 
         Guards against servers that fail fast, refuse connections or let attempts run out in silence, also
@@ -51,11 +51,11 @@
 
     def probe_ended(self, w: Worker, answered: bool, now: float) -> bool:
         """A probe has been answered or was lost; whether the server is to be ejected as silent."""
-        w.probing = False
+        w.probe_in_flight = False
         if not answered:
-            w.probe_fails += 1
-            return w.probe_fails >= PROBE_FAILS and self._quiet(w, now)
-        w.probe_fails = 0
+            w.probe_failures += 1
+            return w.probe_failures >= PROBE_FAILS and self._quiet(w, now)
+        w.probe_failures = 0
         if not w.pending or w.role is not Role.WRITER:  # hung writers may answer probes beside their queue
             w.life = now
         return False
@@ -70,7 +70,7 @@
             return False
         w.ejected = now + min(EJECT_MAX, EJECT_BASE * 2**w.ejections)
         w.ejections, w.trial, w.errors = w.ejections + 1, True, 0.0
-        w.settled = False
+        w.known_usable = False
         return True
 
     def usable(self, w: Worker, now: float) -> bool:
@@ -80,35 +80,35 @@
         busy = w.reads + w.streams > 0
         return not (w.trial and (busy or (self._may_probe and w.life < w.ejected)))
 
-    def in_doubt(self, w: Worker, now: float) -> bool:
+    def is_suspect(self, w: Worker, now: float) -> bool:
         """It failed us or another router lately, or is on trial after that.
 
         Guards turns that cannot be repeated against servers that fail all they get; others find out how these
         do. Reads have no effect, so readers are never in doubt.
         """
         failing = (w.trial or w.errors > DOUBT_RATE) and now - w.failed_at < DOUBT_TIME
-        return w.role is not Role.READER and (failing or self._gossip.doubted(w.info.id, now))
+        return w.role is not Role.READER and (failing or self._gossip.is_suspect(w.info.id, now))
 
-    def undoubted(self, workers: Sequence[Worker], now: float) -> list[Worker]:
+    def without_suspects(self, workers: Sequence[Worker], now: float) -> list[Worker]:
         """Those that are not in doubt."""
-        doubted = self._gossip.doubted_at(now)
+        doubted = self._gossip.suspects(now)
         if not doubted:
-            return [w for w in workers if not ((w.errors or w.trial) and self.in_doubt(w, now))]
+            return [w for w in workers if not ((w.errors or w.trial) and self.is_suspect(w, now))]
         return [
             w
             for w in workers
-            if not ((w.errors or w.trial or w.info.id in doubted) and self.in_doubt(w, now))
+            if not ((w.errors or w.trial or w.info.id in doubted) and self.is_suspect(w, now))
         ]
 
-    def late(self, w: Worker, now: float) -> bool:
+    def is_silent(self, w: Worker, now: float) -> bool:
         """Whether something waits there for long, and it has given no sign of life meanwhile."""
-        return w.oldest(now) > SILENT_AFTER and self._quiet(w, now)
+        return w.longest_wait(now) > SILENT_AFTER and self._quiet(w, now)
 
-    def overdue(self, w: Worker, now: float) -> bool:
+    def exceeds_silence_limit(self, w: Worker, now: float) -> bool:
         """Whether something waits there for so long that answers to probes no longer count."""
-        return w.oldest(now) > SILENT_TIMES * (SILENT_AFTER + self._waits.at(w, now))
+        return w.longest_wait(now) > SILENT_TIMES * (SILENT_AFTER + self._waits.of_server(w, now))
 
     def _quiet(self, w: Worker, now: float) -> bool:
         """No sign of life for longer than waits explain: lost probes alone would eject the busy ones."""
-        read = w.pending[0].tokens * self._paces.of[w.role] if w.pending else 0.0
-        return now - w.life > SILENT_AFTER + SILENT_WAITS * (self._waits.at(w, now) + read)
+        read = w.pending[0].fresh_tokens * self._paces.by_role[w.role] if w.pending else 0.0
+        return now - w.life > SILENT_AFTER + SILENT_WAITS * (self._waits.of_server(w, now) + read)
--- a/hopshed/hold_queue.py
+++ b/hopshed/hold_queue.py
@@ -28,9 +28,9 @@
         """Hold a request; those beyond their client's quota come after all others."""
         self._serial += 1
         self.count += 1
-        heapq.heappush(self._by_cst, (req.over, req.cst, self._serial, req))
-        if not req.over:
-            heapq.heappush(self._by_lift, (now + LIFT * req.cst, self._serial, req))
+        heapq.heappush(self._by_cst, (req.over_quota, req.service_time, self._serial, req))
+        if not req.over_quota:
+            heapq.heappush(self._by_lift, (now + LIFT * req.service_time, self._serial, req))
 
     def pop(self, now: float) -> Request:
         """Take out the next request: a lifted one, else the lowest CST. Raises IndexError when empty."""
@@ -46,7 +46,7 @@
         self.count -= req.held
         req.held = False
 
-    def tidy(self) -> None:
+    def compact(self) -> None:
         """Drop entries of requests that are no longer held, once they are most of what is kept."""
         if not self.count:
             self._by_cst, self._by_lift = [], []
--- a/hopshed/probes.py
+++ b/hopshed/probes.py
@@ -27,11 +27,11 @@
         self._health = health
         self._budget = MAX_BUDGET
 
-    def arrived(self) -> None:
+    def request_arrived(self) -> None:
         """A request has come, which earns some probes."""
         self._budget = min(MAX_BUDGET, self._budget + PER_REQUEST)
 
-    def drawn(self, workers: Iterable[Worker], now: float) -> list[Worker]:
+    def due_among(self, workers: Iterable[Worker], now: float) -> list[Worker]:
         """Of the writers drawn for a request those whose load is to be asked for; that spends the budget."""
         due = []
         for w in workers:
@@ -40,20 +40,20 @@
                 due.append(w)
         return due
 
-    def may(self, w: Worker) -> bool:
+    def may_probe(self, w: Worker) -> bool:
         """Whether a probe may be sent now: they are allowed and none is out there."""
-        return self._allowed and not w.probing
+        return self._allowed and not w.probe_in_flight
 
     def due_for_life(self, w: Worker, now: float) -> bool:
         """Whether it is silent, has lost a probe or is to come back from an ejection."""
         back = w.trial and now >= w.ejected and w.life < w.ejected
-        lost = w.probe_fails > 0 and now >= w.ejected
-        return now - w.probe_at >= SILENT_AFTER / 2 and (back or lost or self._health.late(w, now))
+        lost = w.probe_failures > 0 and now >= w.ejected
+        return now - w.probed_at >= SILENT_AFTER / 2 and (back or lost or self._health.is_silent(w, now))
 
     def due_for_load(self, w: Worker, now: float) -> bool:
         """Whether its load is to be asked for, where only probes tell it."""
         tells = self._readers_tell or w.role is not Role.READER
-        return self._for_load and tells and now - w.probe_at >= MIN_AGE and now >= w.ejected
+        return self._for_load and tells and now - w.probed_at >= MIN_AGE and now >= w.ejected
 
     def due(self, workers: Iterable[Worker], random: Random, now: float) -> list[Worker]:
         """The servers to probe now, those for signs of life first; that spends the budget for load."""
@@ -62,7 +62,7 @@
         silent: list[Worker] = []
         stale: list[Worker] = []
         for w in workers:
-            if not self.may(w) or w.info.state is not ServerState.RUNNING:
+            if not self.may_probe(w) or w.info.state is not ServerState.RUNNING:
                 continue
             if self.due_for_life(w, now):
                 silent.append(w)
@@ -70,7 +70,7 @@
                 stale.append(w)
         if self._budget >= 1:
             # The stalest first, in an order of our own: all routers' probes in step would be lost.
-            stale.sort(key=lambda w: (w.probe_at, random.random()))
+            stale.sort(key=lambda w: (w.probed_at, random.random()))
         stale = stale[: int(self._budget)]
         self._budget -= len(stale)
         return silent + stale
--- a/hopshed/queue_waits.py
+++ b/hopshed/queue_waits.py
@@ -19,31 +19,36 @@
 TELL_WAIT = 0.5  # s; longer waits, if they are far over the role's, are told to the other routers
 
 
-class Waits:
+class QueueWaits:
     """Waits for a read, or for a first token, in s."""
 
     def __init__(self, gossip: Gossip) -> None:
         self.by_role = {role: Estimate() for role in Role}
-        self.gap, self.came = 0.0, 0.0  # mean time between this router's arrivals in s, and the last one
+        self.mean_arrival_gap, self.last_arrival = (
+            0.0,
+            0.0,
+        )  # mean time between this router's arrivals in s, and the last one
         self._gossip = gossip
 
-    def arrived(self, now: float) -> None:
+    def request_arrived(self, now: float) -> None:
         """A request has come."""
-        self.gap += GAP_GAIN * (min(now - self.came, ROLE_SPAN_MAX) - self.gap)
-        self.came = now
+        self.mean_arrival_gap += GAP_GAIN * (
+            min(now - self.last_arrival, ROLE_SPAN_MAX) - self.mean_arrival_gap
+        )
+        self.last_arrival = now
 
-    def told(self, w: Worker) -> bool:
+    def uses_backlog(self, w: Worker) -> bool:
         """Whether a server's queue is judged by what routers tell one another of their reads."""
-        return self._gossip.speaks and w.role is not Role.WRITER
+        return self._gossip.enabled and w.role is not Role.WRITER
 
-    def seldom(self, servers: int) -> bool:
+    def meets_servers_rarely(self, servers: int) -> bool:
         """Whether this router is one of so many that it meets each server too seldom to know it by itself."""
-        return self.gap * servers > WAIT_DECAY
+        return self.mean_arrival_gap * servers > WAIT_DECAY
 
-    def at(self, w: Worker, now: float) -> float:
+    def of_server(self, w: Worker, now: float) -> float:
         """A server's queue, where routers tell one another of that. Else the wait learnt there, fading to its
         role's: one router of many sees each server too rarely."""
-        if self.told(w):
+        if self.uses_backlog(w):
             return w.backlog.wait(now)
         fresh = math.exp((w.wait_at - now) / WAIT_DECAY)
         return fresh * w.wait + (1 - fresh) * self.of_role(w.role, now)
@@ -54,21 +59,21 @@
 
     def learn(self, w: Worker, sample: float, now: float, believed: float) -> float:
         """Take in a wait at a server, of which so much was believed; the wait that others should know of."""
-        excess = w.backlog.waited(sample, believed, now)
-        wait = self.at(w, now)
+        excess = w.backlog.wait_observed(sample, believed, now)
+        wait = self.of_server(w, now)
         w.wait, w.wait_at = wait + SAMPLE_GAIN * (sample - wait), now
         # Bounded, for lost answers must not pass for a crowd.
         self.learn_of_role(w.role, min(sample, ROLE_RISE * self.of_role(w.role, now) + ROLE_STEP), now)
-        return excess if self.told(w) else sample
+        return excess if self.uses_backlog(w) else sample
 
     def learn_of_role(self, role: Role, sample: float, now: float) -> None:
         """Take in a wait as one that is common to a role."""
         self.by_role[role].learn(sample, now, ROLE_GAIN, self._span)
 
-    def stands_out(self, w: Worker, wait: float, now: float) -> bool:
+    def is_outlier(self, w: Worker, wait: float, now: float) -> bool:
         """Whether a wait at a server is so far over its role's that the other routers should know."""
         return wait > max(TELL_WAIT, ROLE_RISE * self.of_role(w.role, now))
 
     @property
     def _span(self) -> float:
-        return min(ROLE_SPAN_MAX, max(WAIT_DECAY, ROLE_TURNS * self.gap))
+        return min(ROLE_SPAN_MAX, max(WAIT_DECAY, ROLE_TURNS * self.mean_arrival_gap))
--- a/hopshed/quota.py
+++ b/hopshed/quota.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .interface import Settings
-from .state import Bucket
+from .state import TokenBucket
 
 BURST, LEAST = 3.0, 3.0  # s of quota, turns at least, at once
 
@@ -13,7 +13,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self._rates = [tenant.quota_per_s / settings.instances for tenant in settings.tenants]
-        self.buckets = [Bucket() for _ in settings.tenants]
+        self.buckets = [TokenBucket() for _ in settings.tenants]
 
     def over_quota(self, tenant: int, now: float) -> bool:
         """Book one turn of a client; whether it is beyond its quota. A client without one never is."""
--- a/hopshed/rendezvous.py
+++ b/hopshed/rendezvous.py
@@ -12,7 +12,7 @@
 SPACE = 2.0 ** (8 * DIGEST_BYTES)
 
 
-def rank(key: str, server: int, weight: float = 1.0) -> float:
+def rendezvous_score(key: str, server: int, weight: float = 1.0) -> float:
     """A server's score for a key: the highest wins, each in proportion to its weight."""
     return _score(blake2b(f"{key}/{server}".encode(), digest_size=DIGEST_BYTES).digest(), weight)
 
@@ -26,24 +26,24 @@
     """Hash orders of a set of servers, kept until it changes: hashing a fleet each time costs CPU."""
 
     def __init__(self, keep: int) -> None:
-        self.keep = keep
+        self.capacity = keep
         self.weights: dict[int, float] = {}
         self._names: dict[int, bytes] = {}
-        self.known: dict[str, tuple[int, ...]] = {}
+        self.orders: dict[str, tuple[int, ...]] = {}
 
-    def servers(self, weights: dict[int, float]) -> None:
+    def set_weights(self, weights: dict[int, float]) -> None:
         if weights != self.weights:
             self.weights = weights
             self._names = {server: str(server).encode() for server in weights}
-            self.known.clear()
+            self.orders.clear()
 
     def order(self, key: str) -> tuple[int, ...]:
         """The servers in the key's order, highest rank first."""
-        if key not in self.known:
-            if len(self.known) >= self.keep:
-                self.known.clear()
-            self.known[key] = self._ranked(key)
-        return self.known[key]
+        if key not in self.orders:
+            if len(self.orders) >= self.capacity:
+                self.orders.clear()
+            self.orders[key] = self._ranked(key)
+        return self.orders[key]
 
     def _ranked(self, key: str) -> tuple[int, ...]:
         """All servers by `rank`. What their digests have in common is hashed once."""
--- a/hopshed/role_usage.py
+++ b/hopshed/role_usage.py
@@ -14,11 +14,11 @@
 
 def _usage(c: Controller, role: Role, now: float) -> RoleUsage:
     pool = c.pool(role, now)
-    usable = sum(c.slow_start.able(w, now) for w in pool)
+    usable = sum(c.slow_start.capacity_share(w, now) for w in pool)
     if role is Role.READER:
-        read = c.reading[role].decayed(now, WORK_RATE_TIME_CONSTANT_S) * c.settings.instances
+        read = c.read_load[role].decayed(now, WORK_RATE_TIME_CONSTANT_S) * c.settings.instances
         busy = read / max(usable, c.settings.cold_from)
     else:
         out = sum(w.streams for w in pool)
-        busy = out / (out + c.room.together(pool, now)) if out else 0.0
+        busy = out / (out + c.room.total(pool, now)) if out else 0.0
     return RoleUsage(c.topology.running[role], usable, busy)
--- a/hopshed/slow_start.py
+++ b/hopshed/slow_start.py
@@ -32,22 +32,24 @@
 class SlowStart:
     def __init__(self, settings: Settings) -> None:
         self.s = settings
-        self.took: dict[Role, float] = {}  # what a warm server took from us a second before a loss of all
+        self.warm_rates_before_loss: dict[
+            Role, float
+        ] = {}  # what a warm server took from us a second before a loss of all
         self._rates: dict[Role, _Look[float]] = {}  # the warm rate, in sends a second
         self._untried: dict[Role, _Look[bool]] = {}  # whether there are warm servers, and none was sent to
 
-    def changed(self) -> None:
+    def invalidate(self) -> None:
         """A send or a list has changed what the figures over all servers of a role are made of."""
         self._rates = {role: look for role, look in self._rates.items() if look.many}
         self._untried = {role: look for role, look in self._untried.items() if look.many}
 
-    def cold(self, w: Worker, now: float) -> bool:
+    def is_cold(self, w: Worker, now: float) -> bool:
         return self._age(w, now) < self.s.cold_time
 
     def _age(self, w: Worker, now: float) -> float:
         return now - (w.info.started if w.info.started is not None else w.listed)
 
-    def able(self, w: Worker, now: float) -> float:
+    def capacity_share(self, w: Worker, now: float) -> float:
         """The least part of its capacity that a server has by now; it grows evenly until it is warm."""
         warm = min(1.0, self._age(w, now) / (self.s.cold_time or 1.0))
         return self.s.cold_from + (1 - self.s.cold_from) * warm
@@ -76,23 +78,23 @@
         return look.shown
 
     def _measured_rate(self, role: Role, peers: Sequence[Worker], now: float) -> float:
-        rates = [(p.work.decayed(now, WORK_RATE_TIME_CONSTANT_S), self.cold(p, now)) for p in peers]
+        rates = [(p.work_rate.decayed(now, WORK_RATE_TIME_CONSTANT_S), self.is_cold(p, now)) for p in peers]
         warm = [rate for rate, cold in rates if not cold]
         if not warm:
             taken = FLOOR / self.s.instances
         else:
             even = sum(rate for rate, _ in rates) / len(rates)
             taken = min(sum(warm) / len(warm), EVEN_TIMES * even)
-        return max(taken, self.took.get(role, 0.0))  # where all are cold, no peer tells
+        return max(taken, self.warm_rates_before_loss.get(role, 0.0))  # where all are cold, no peer tells
 
-    def begin(self, w: Worker, peers: Sequence[Worker], draw: float, now: float) -> None:
+    def start(self, w: Worker, peers: Sequence[Worker], draw: float, now: float) -> None:
         """Set the bucket of a server that has just started; `draw` is uniform from 0 to 1.
 
         A start by chance lets in the routers whose turn it is, so that the sum over routers holds: as many at
         once as there is room for by chance. A router that has sent nothing to the role yet, and finds warm
         servers there, uses this one as far as it is warm: it draws no more than its part of what comes.
         """
-        able = self.able(w, now)
+        able = self.capacity_share(w, now)
         if self._shown(self._untried, self._none_sent_to_warm, w.role, peers, now):
             w.cold_level = draw + able
             return
@@ -102,15 +104,15 @@
 
     def _none_sent_to_warm(self, role: Role, peers: Sequence[Worker], now: float) -> bool:
         """Whether there are warm peers, and this router has sent nothing to any peer."""
-        return any(not self.cold(p, now) for p in peers) and not any(p.work.value for p in peers)
+        return any(not self.is_cold(p, now) for p in peers) and not any(p.work_rate.value for p in peers)
 
-    def room(self, w: Worker, peers: Sequence[Worker], now: float) -> bool:
+    def has_budget(self, w: Worker, peers: Sequence[Worker], now: float) -> bool:
         """Whether a cold server may get one more send from us.
 
         A token bucket, filled with our part of what it can take. A send that weighs more than one is paid for
         afterwards.
         """
-        rate = SAFETY * self.s.fall_multiple * self.able(w, now) * self.warm_rate(w, peers, now)
+        rate = SAFETY * self.s.fall_multiple * self.capacity_share(w, now) * self.warm_rate(w, peers, now)
         most = max(rate * self.s.fall_window / 2, LEAST)
         w.cold_level, w.cold_at = min(w.cold_level + rate * (now - w.cold_at), most), now
         return w.cold_level >= 1.0
--- a/hopshed/state.py
+++ b/hopshed/state.py
@@ -11,7 +11,7 @@
 from .interface import Load, Outcome, RequestArrived, Role, Server
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket, full at first; rate and size are the module's."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         return enough
 
 
-def drop_before(table: dict[Any, Any], time: float) -> None:
+def drop_unused(table: dict[Any, Any], time: float) -> None:
     """Drop the entries last used before a time; the table is in the order of last use."""
     while table and table[key := next(iter(table))].at < time:
         del table[key]
@@ -42,44 +42,44 @@
 @dataclass(eq=False, slots=True)
 class Attempt:
     server: Worker
-    read: bool  # a read only; else it hands a state over, or is a whole turn at a mixed server
-    sent: float
-    tokens: float  # prompt tokens it must read
-    expected: float = 0.0  # s until the prompt would be read, as believed when it was sent
-    wait: float = 0.0  # the part of it that its server's queue would take, where that is known
-    mark: float = 0.0  # its place in that queue
-    first: float = 0.0  # time to the first token
+    read_only: bool  # a read only; else it hands a state over, or is a whole turn at a mixed server
+    sent_at: float
+    fresh_tokens: float  # prompt tokens it must read
+    expected_read_time: float = 0.0  # s until the prompt would be read, as believed when it was sent
+    expected_wait: float = 0.0  # the part of it that its server's queue would take, where that is known
+    backlog_mark: float = 0.0  # its place in that queue
+    first_token_time: float = 0.0  # time to the first token
     live: bool = True
     streaming: bool = False
     outcome: Outcome | None = None
 
     @property
     def may_have_run(self) -> bool:
-        return not self.read and not (self.outcome and self.outcome.never_ran)
+        return not self.read_only and not (self.outcome and self.outcome.never_ran)
 
 
 @dataclass(eq=False, slots=True)
 class Request:
-    ev: RequestArrived
+    arrival: RequestArrived
     tenant: int
-    arrived: float
+    arrived_at: float
     deadline: float
-    aim: float
-    cst: float = 0.0
-    over: bool = False  # beyond its tenant's share
+    first_token_due: float
+    service_time: float = 0.0
+    over_quota: bool = False  # beyond its tenant's share
     held: bool = True
     done: bool = False  # no answer is owed any more
-    state: Worker | None = None  # the reader at which the read state waits
+    state_reader: Worker | None = None  # the reader at which the read state waits
     state_since: float = 0.0
-    pair: list[Worker] = field(default_factory=list)  # writers drawn for it while it is read
+    writer_pair: list[Worker] = field(default_factory=list)  # writers drawn for it while it is read
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
-    def ran(self) -> list[Attempt]:
+    def possibly_run(self) -> list[Attempt]:
         return [a for a in self.attempts if a.may_have_run]
 
     @property
-    def out(self) -> bool:
+    def in_flight(self) -> bool:
         return any(a.live for a in self.attempts)
 
 
@@ -92,37 +92,37 @@
         self.gone_at = math.inf
         self.reads, self.streams = 0, 0
         self.pending: list[Attempt] = []  # ours that have not been read, or have no first token yet
-        self.forget(now)
+        self.reset(now)
 
-    def forget(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Forget what was learnt of the process; what we have out there stays."""
         self.load: Load | None = None
-        self.load_at, self.own_at_load, self.since_load = -math.inf, 0, 0
+        self.load_at, self.streams_at_load, self.sends_since_load = -math.inf, 0, 0
         self.wait, self.wait_at, self.floor = 0.0, now, math.inf  # learnt wait; least time to a first token
         self.limit: float | None = None  # adaptive concurrency limit
         self.hit = 1.0  # part of the tokens that should have been kept and were
         self.drag = 1.0  # its streams' time against the class's mean over servers
         self.errors, self.ejected, self.ejections, self.trial = 0.0, -math.inf, 0, False
         self.failed_at = -math.inf
-        self.life, self.probing, self.probe_at, self.probe_fails = now, False, -math.inf, 0
+        self.life, self.probe_in_flight, self.probed_at, self.probe_failures = now, False, -math.inf, 0
         self.cold_level, self.cold_at = 0.0, now
         # Found running, warm, not ejected and not on trial, and nothing has changed that since.
-        self.settled = False
-        self.work = Estimate()  # rate of requests sent there
+        self.known_usable = False
+        self.work_rate = Estimate()  # rate of requests sent there
         self.backlog = Backlog()  # of all routers' reads there, where they tell one another
 
-    def book(self, a: Attempt) -> None:
+    def add_attempt(self, a: Attempt) -> None:
         self.pending.append(a)
-        self.reads += a.read
-        self.streams += not a.read
-        self.since_load += not a.read
+        self.reads += a.read_only
+        self.streams += not a.read_only
+        self.sends_since_load += not a.read_only
 
-    def unbook(self, a: Attempt) -> None:
+    def remove_attempt(self, a: Attempt) -> None:
         if a in self.pending:
             self.pending.remove(a)
-        self.reads -= a.read
-        self.streams -= not a.read
+        self.reads -= a.read_only
+        self.streams -= not a.read_only
 
-    def oldest(self, now: float) -> float:
+    def longest_wait(self, now: float) -> float:
         """Age of our longest wait here, a wait that no finished one has told of yet."""
-        return now - self.pending[0].sent if self.pending else 0.0
+        return now - self.pending[0].sent_at if self.pending else 0.0
--- a/hopshed/topology.py
+++ b/hopshed/topology.py
@@ -48,14 +48,14 @@
         self._writers_cells = set[int]()
         self._writers_zones = set[int]()
 
-    def listed(self, workers: Iterable[Worker]) -> None:
+    def rebuild(self, workers: Iterable[Worker]) -> None:
         """Take in a whole list."""
         self._placed, self._in_cells, self._in_zones = {}, _Places(), _Places()
         self.running = dict.fromkeys(Role, 0)
         self._stale = True
-        self.changed(workers)
+        self.update(workers)
 
-    def changed(self, workers: Iterable[Worker]) -> None:
+    def update(self, workers: Iterable[Worker]) -> None:
         """Take in changes to a list. The balances are worked out when they are next asked for."""
         for w in workers:
             runs = w.info.state is ServerState.RUNNING
@@ -78,32 +78,32 @@
         self._in_zones.add(zone, role, count)
 
     @property
-    def writers_cells(self) -> set[int]:
+    def writer_heavy_cells(self) -> set[int]:
         """The cells that have a larger part of all writers than of all readers."""
         self._balance()
         return self._writers_cells
 
     @property
-    def writers_zones(self) -> set[int]:
+    def writer_heavy_zones(self) -> set[int]:
         """The same of zones."""
         self._balance()
         return self._writers_zones
 
-    def cell(self, w: Worker) -> float:
+    def cell_balance(self, w: Worker) -> float:
         """The part of all writers that w's cell has over its part of all readers."""
         self._balance()
         return self._cells.get(w.info.cell, math.inf)
 
-    def zone(self, w: Worker) -> float:
+    def zone_balance(self, w: Worker) -> float:
         """The same of w's zone."""
         self._balance()
         return self._zones.get(w.info.zone, math.inf)
 
-    def weight(self, w: Worker) -> float:
+    def home_weight(self, w: Worker) -> float:
         """Its weight as a home: reads go where writers are near."""
-        return self.weights((w,))[w.info.id]
+        return self.home_weights((w,))[w.info.id]
 
-    def weights(self, workers: Iterable[Worker]) -> dict[int, float]:
+    def home_weights(self, workers: Iterable[Worker]) -> dict[int, float]:
         """The weights of many of them, by number."""
         self._balance()
         lean = {cell: min(LEAN_MOST, max(LEAN_LEAST, part)) for cell, part in self._cells.items()}
--- a/hopshed/zone_reachability.py
+++ b/hopshed/zone_reachability.py
@@ -20,18 +20,18 @@
     def __init__(self) -> None:
         self._silent: dict[int, dict[int, float]] = {}  # zone -> server -> when it last stayed silent
 
-    def silent(self, zone: int, server: int, latency: float, now: float) -> None:
+    def attempt_unanswered(self, zone: int, server: int, latency: float, now: float) -> None:
         """An attempt at a server came to nothing after so many s, without a word."""
         if latency >= SILENT:
             heard = self._silent.get(zone, {})
             recent = {n: at for n, at in heard.items() if now - at < REMEMBERED}
             self._silent[zone] = recent | {server: now}
 
-    def alive(self, zone: int) -> None:
+    def server_answered(self, zone: int) -> None:
         """A server there has answered."""
         self._silent.pop(zone, None)
 
-    def cut_off(self, now: float) -> set[int]:
+    def unreachable(self, now: float) -> set[int]:
         """The zones to go without, where there are others."""
         return {
             zone
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -80,8 +80,8 @@
         heavy.sessions["light"] = light
         bench.now += wait
         bench.arrive("l", session="light", patience=60.0)
-    assert new.c.queue.pop(new.now).ev.id == "l" or new.c.queue.pop(new.now).ev.id == "l"
-    assert old.c.queue.pop(old.now).ev.id == "h"
+    assert new.c.queue.pop(new.now).arrival.id == "l" or new.c.queue.pop(new.now).arrival.id == "l"
+    assert old.c.queue.pop(old.now).arrival.id == "h"
 
 
 def test_hold_that_cannot_meet_its_aim_is_refused_early():
@@ -241,9 +241,9 @@
     w = b.c.workers[11]
     w.streams = 10
     b.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5, queued=0.0, memory_share=0.3)))
-    assert b.c.room.at(w, b.now) == pytest.approx(10.0)
+    assert b.c.room.of_server(w, b.now) == pytest.approx(10.0)
     b.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5, queued=0.0, memory_share=0.95)))
-    assert b.c.room.at(w, b.now) <= 0
+    assert b.c.room.of_server(w, b.now) <= 0
 
 
 def test_a_deployment_without_reports_still_has_a_gate():
@@ -268,13 +268,13 @@
         b.do(ClientGone(f"r{n}"))
         b.end(f"r{n}", Outcome.CANCELED, after=0.0)
     b.arrive("x")
-    assert b.c.requests["x"].aim - b.now < 0.7
+    assert b.c.requests["x"].first_token_due - b.now < 0.7
     for n in range(80):
         b.arrive(f"s{n}")
         b.read(f"s{n}", after=0.01)
         b.do(StreamStarted(f"s{n}", 1, b.attempts[f"s{n}"][1], 0.02))
     b.arrive("y")
-    assert b.c.requests["y"].aim - b.now == pytest.approx(1.04)
+    assert b.c.requests["y"].first_token_due - b.now == pytest.approx(1.04)
 
 
 def test_a_busy_server_that_loses_probes_is_not_silent_and_a_hung_one_is():
@@ -303,9 +303,9 @@
     w = b.c.workers[11]
     w.streams = 10
     b.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5)))
-    before = b.c.room.at(w, b.now)
+    before = b.c.room.of_server(w, b.now)
     w.drag = 2.0
-    assert b.c.room.at(w, b.now) < before / 2
+    assert b.c.room.of_server(w, b.now) < before / 2
 
 
 def test_many_slow_first_tokens_cut_the_limit_once():
@@ -313,11 +313,11 @@
     b = Bench()
     w = b.c.workers[11]
     w.streams, w.limit = 20, 100.0
-    b.c.room.cut(w)
-    once = b.c.room.limit(w)
+    b.c.room.lower_limit(w)
+    once = b.c.room.stream_limit(w)
     for _ in range(10):
-        b.c.room.cut(w)
-    assert once == b.c.room.limit(w) == pytest.approx(21 * 0.85)
+        b.c.room.lower_limit(w)
+    assert once == b.c.room.stream_limit(w) == pytest.approx(21 * 0.85)
 
 
 def test_a_hung_writer_that_answers_probes_is_ejected_and_a_reader_is_not():
@@ -330,7 +330,7 @@
         w = b.c.workers[b.attempts["a"][-1]]
         for _ in range(38):
             b.tick(b.now + 0.05)
-            if w.probing:
+            if w.probe_in_flight:
                 b.do(ProbeEnded(w.info.id, True, 0.01))
         assert (b.now < w.ejected) is ejected
 
@@ -370,7 +370,7 @@
         b.arrive("a", prompt_tokens=2000.0)
         b.do(StreamStarted("a", 0, 21, 0.2))
         b.end("a", Outcome.OK, after=2.0, closed=True, note=kept)
-        assert b.c.paces.of[Role.MIXED] == pytest.approx(pace)
+        assert b.c.paces.by_role[Role.MIXED] == pytest.approx(pace)
 
 
 def test_until_it_is_known_a_mixed_server_reads_no_faster_than_a_reader():
@@ -379,7 +379,7 @@
     if b.attempts["a"] == [21]:
         b.end("a", Outcome.FULL)
     b.end("a", Outcome.READ, after=0.3)
-    assert b.c.paces.of[Role.MIXED] == b.c.paces.of[Role.READER] > 0
+    assert b.c.paces.by_role[Role.MIXED] == b.c.paces.by_role[Role.READER] > 0
 
 
 def test_a_server_that_has_warmed_half_way_is_used_half_way():
@@ -401,7 +401,7 @@
     b = Bench(report_fields=("memory_share",), may_probe=True, instances=100)
     for wid in (11, 12, 13):
         b.do(ProbeEnded(wid, True, 0.01, Load(memory_share=0.8)))
-    b.c.room.context = 1600.0
+    b.c.room.mean_request_tokens = 1600.0
     # 100 streams at each, room for 25: a part of .75 for each router.
     assert b.c._free(Role.WRITER, b.now) < 1.0
 
@@ -418,10 +418,10 @@
             b.read(f"r{n}", after=0.02)
             sent += 1
     assert sent > 5
-    b.c.paces.learnt, before = 50, dict(b.c.paces.of)
+    b.c.paces.samples, before = 50, dict(b.c.paces.by_role)
     b.c.waits.by_role[Role.READER].value, b.c.waits.by_role[Role.READER].at = 9.0, b.now
     b.arrive("late")
-    assert b.c.paces.of == before  # not one that many reads taught: it fell to nothing under load
+    assert b.c.paces.by_role == before  # not one that many reads taught: it fell to nothing under load
 
 
 def test_probes_follow_traffic_and_not_the_fleet():
@@ -463,10 +463,10 @@
     """A bucket of its part of the quota held less than one turn, so every turn counted as over share."""
     b = Bench(tenants=(Tenant(quota_per_s=9.0),), instances=100)
     b.arrive("a")
-    assert not b.c.requests["a"].over
+    assert not b.c.requests["a"].over_quota
     for n in range(20):
         b.arrive(f"r{n}")
-    assert b.c.requests["r19"].over
+    assert b.c.requests["r19"].over_quota
 
 
 def test_a_turn_that_cannot_be_repeated_keeps_clear_of_a_server_that_failed():
@@ -523,4 +523,4 @@
             b.do(ClientGone(f"r{n}"))
             b.end(f"r{n}", Outcome.CANCELED, after=0.0)
     b.arrive("x")
-    assert b.c.requests["x"].aim - b.now == pytest.approx(1.04)
+    assert b.c.requests["x"].first_token_due - b.now == pytest.approx(1.04)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 from test_gossip import gossip
 
 from hopshed.fleet import Fleet
-from hopshed.gossip import tag
+from hopshed.gossip import short_tag
 from hopshed.interface import Role, Server, ServerState
 from hopshed.state import Worker
 from hopshed.topology import Topology
@@ -45,32 +45,32 @@
         # A message names each server once, as the last of its changes has it.
         message = {change[0]: change for change in changes[first : first + size]}
         changed = [apply(fleet, change) for change in message.values()]
-        fleet.changed(changed)
-        topology.changed(changed)
+        fleet.update(changed)
+        topology.update(changed)
         whole, anew = Fleet(), Topology()
         whole.workers = fleet.workers
-        whole.index()
-        anew.listed(fleet.workers.values())
+        whole.rebuild()
+        anew.rebuild(fleet.workers.values())
         assert fleet.running == whole.running and fleet.by_role == whole.by_role
         assert topology.running == anew.running
-        assert topology.writers_cells == anew.writers_cells
-        assert topology.writers_zones == anew.writers_zones
+        assert topology.writer_heavy_cells == anew.writer_heavy_cells
+        assert topology.writer_heavy_zones == anew.writer_heavy_zones
         workers = list(fleet.workers.values())
-        assert topology.weights(workers) == anew.weights(workers)
+        assert topology.home_weights(workers) == anew.home_weights(workers)
 
 
 def test_a_server_that_is_forgotten_and_comes_back_is_there_once() -> None:
     fleet = Fleet()
-    fleet.changed([apply(fleet, (1, ServerState.GONE, 0)), apply(fleet, (2, ServerState.RUNNING, 0))])
-    assert fleet.forget_gone(2.0) == [1]
-    fleet.changed([apply(fleet, (1, ServerState.RUNNING, 0))])
+    fleet.update([apply(fleet, (1, ServerState.GONE, 0)), apply(fleet, (2, ServerState.RUNNING, 0))])
+    assert fleet.remove_gone(2.0) == [1]
+    fleet.update([apply(fleet, (1, ServerState.RUNNING, 0))])
     assert sorted(w.info.id for role in Role for w in fleet.running[role]) == [1, 2]
-    assert fleet.forget_gone(2.0) == []
+    assert fleet.remove_gone(2.0) == []
 
 
 def test_words_of_a_server_that_has_been_forgotten_name_nobody() -> None:
     told = gossip()
-    told.listed([1, 2])
-    told.forget(1)
-    told.joined(3)
-    assert told._tags == {tag("2"): (2,), tag("3"): (3,)}
+    told.set_servers([1, 2])
+    told.remove_server(1)
+    told.add_server(3)
+    assert told._tags == {short_tag("2"): (2,), short_tag("3"): (3,)}
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -25,25 +25,31 @@
 
 
 def test_a_failure_that_one_has_seen_is_doubted_by_the_others_for_a_while() -> None:
-    word = gossip().failed(7, 100.0)
+    word = gossip().failure_message(7, 100.0)
     assert word is not None
     other = gossip()
-    other.hear(word, 100.0)
-    assert other.doubted(7, 100.0 + DOUBTED_FOR - 0.1) and not other.doubted(7, 100.0 + DOUBTED_FOR + 0.1)
-    assert not other.doubted(8, 100.0)
+    other.receive(word, 100.0)
+    assert other.is_suspect(7, 100.0 + DOUBTED_FOR - 0.1) and not other.is_suspect(
+        7, 100.0 + DOUBTED_FOR + 0.1
+    )
+    assert not other.is_suspect(8, 100.0)
 
 
 def test_nobody_repeats_what_has_just_been_said() -> None:
     one, other = gossip(), gossip()
-    word = one.failed(7, 100.0)
-    assert word and one.failed(7, 100.0 + SAID_FOR - 0.1) is None and one.failed(7, 100.0 + SAID_FOR + 0.1)
-    other.hear(word, 100.1)
-    assert other.failed(7, 100.2) is None and other.failed(8, 100.2)
+    word = one.failure_message(7, 100.0)
+    assert (
+        word
+        and one.failure_message(7, 100.0 + SAID_FOR - 0.1) is None
+        and one.failure_message(7, 100.0 + SAID_FOR + 0.1)
+    )
+    other.receive(word, 100.1)
+    assert other.failure_message(7, 100.2) is None and other.failure_message(8, 100.2)
 
 
 @pytest.mark.parametrize("kw", [{"may_tell": False}, {"instances": 1}])
 def test_nothing_is_said_where_it_is_not_permitted_or_nobody_listens(kw: dict[str, object]) -> None:
-    assert gossip(**kw).failed(7, 100.0) is None
+    assert gossip(**kw).failure_message(7, 100.0) is None
 
 
 @given(
@@ -54,28 +60,30 @@
 def test_a_message_is_understood_whole_or_refused(data: bytes) -> None:
     table = gossip()
     try:
-        slow = table.hear(data, 100.0)
+        slow = table.receive(data, 100.0)
     except ValueError:
         assert (len(data), data[:1]) not in [(9, b"F"), (10, b"S")]
     else:
-        assert slow or table.doubted(int.from_bytes(data[1:], "big"), 100.0)
+        assert slow or table.is_suspect(int.from_bytes(data[1:], "big"), 100.0)
 
 
 @given(st.integers(0, 2**64 - 1), st.floats(0.0, 100.0))
 def test_a_wait_comes_as_it_was_told_and_is_told_by_one_router_at_a_time(server: int, wait: float) -> None:
     one, other = gossip(), gossip()
-    word = one.slow(server, wait, 100.0)
-    assert word and one.slow(server, wait, 100.0 + WAIT_FOR / 2) is None
-    said = other.hear(word, 100.1)
+    word = one.slow_message(server, wait, 100.0)
+    assert word and one.slow_message(server, wait, 100.0 + WAIT_FOR / 2) is None
+    said = other.receive(word, 100.1)
     assert said and said[0] == server and said[1] == pytest.approx(min(wait, 25.5), abs=0.051)
-    assert other.slow(server, wait, 100.2) is None and other.slow(server, wait, 100.2 + WAIT_FOR)
-    assert not other.doubted(server, 100.2)
+    assert other.slow_message(server, wait, 100.2) is None and other.slow_message(
+        server, wait, 100.2 + WAIT_FOR
+    )
+    assert not other.is_suspect(server, 100.2)
 
 
 def test_words_of_servers_that_nobody_knows_do_not_pile_up() -> None:
     table = gossip()
     for n in range(4 * KEPT):
-        table.hear((b"F" if n % 2 else b"S") + n.to_bytes(8, "big") + (b"" if n % 2 else b"\x0a"), n / 10)
+        table.receive((b"F" if n % 2 else b"S") + n.to_bytes(8, "big") + (b"" if n % 2 else b"\x0a"), n / 10)
     assert len(table._heard) + len(table._waits) <= KEPT + 1
 
 
@@ -83,7 +91,7 @@
     """The writers that unsafe turns go to, after another router has, or has not, told of a failure at 11."""
     b = Bench(effect=Effect.UNSAFE, may_tell=True, instances=40)
     if told:
-        word = gossip().failed(11, b.now)
+        word = gossip().failure_message(11, b.now)
         assert word is not None
         b.do(PeerSaid(3, word))
     for n in range(turns):
@@ -131,7 +139,7 @@
 
 
 def test_on_the_simulators_wire() -> None:
-    word = gossip().failed(2**40, 1.0)
+    word = gossip().failure_message(2**40, 1.0)
     assert word is not None
     row = wire.action("router/1", Tell(word))
     assert row.startswith('["share","router/1","all","')
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -22,8 +22,8 @@
 )
 from hopshed.interface import Load, Role, ServerState
 from hopshed.probes import MAX_BUDGET, MIN_AGE, MIN_AGE_DRAWN, PER_REQUEST, Probes
-from hopshed.queue_waits import Waits
-from hopshed.read_pace import Paces
+from hopshed.queue_waits import QueueWaits
+from hopshed.read_pace import ReadPaces
 from hopshed.state import Attempt, Worker
 from hopshed.zone_reachability import ZoneReachability
 
@@ -38,21 +38,21 @@
 def health(**kw: Any) -> Health:
     figures = settings(**kw)
     gossip = Gossip(figures)
-    return Health(figures, ZoneReachability(), gossip, Waits(gossip), Paces())
+    return Health(figures, ZoneReachability(), gossip, QueueWaits(gossip), ReadPaces())
 
 
 def waiting(w: Worker, since: float, read: bool = False) -> Worker:
-    w.book(Attempt(w, read, since, 0.0))
+    w.add_attempt(Attempt(w, read, since, 0.0))
     return w
 
 
 def test_failures_in_a_row_eject_and_good_answers_between_them_do_not() -> None:
     seen, failing, flaky = health(), worker(1), worker(2)
-    assert [seen.failed(failing, NOW) for _ in range(3)] == [False, True, True]
+    assert [seen.attempt_failed(failing, NOW) for _ in range(3)] == [False, True, True]
     for _ in range(20):
-        assert not seen.failed(flaky, NOW)
+        assert not seen.attempt_failed(flaky, NOW)
         for _ in range(3):
-            seen.answered(flaky, NOW)
+            seen.attempt_succeeded(flaky, NOW)
 
 
 def test_the_time_out_doubles_up_to_its_most_and_starts_anew_after_a_good_while() -> None:
@@ -64,7 +64,7 @@
         times.append(w.ejected - now)
         now = w.ejected
     assert times == pytest.approx([EJECT_BASE, 2 * EJECT_BASE, EJECT_MAX, EJECT_MAX])
-    seen.answered(w, now + EJECT_MAX + 0.1)
+    seen.attempt_succeeded(w, now + EJECT_MAX + 0.1)
     assert seen.eject(w, peers, now + EJECT_MAX + 0.2)
     assert w.ejected == pytest.approx(now + EJECT_MAX + 0.2 + EJECT_BASE)
 
@@ -83,8 +83,8 @@
     assert not seen.usable(w, back - 0.01) and seen.usable(w, back)
     waiting(w, back)
     assert not seen.usable(w, back)
-    w.unbook(w.pending[0])
-    seen.answered(w, back + 0.1)
+    w.remove_attempt(w.pending[0])
+    seen.attempt_succeeded(w, back + 0.1)
     assert seen.usable(waiting(w, back + 0.2), back + 0.2)
 
 
@@ -104,16 +104,16 @@
 def test_a_failure_puts_a_server_in_doubt_for_a_while_but_never_a_reader() -> None:
     seen, writer, reader = health(), worker(1), worker(2, Role.READER)
     for w in (writer, reader):
-        seen.failed(w, NOW)
-    assert seen.in_doubt(writer, NOW + DOUBT_TIME - 0.1)
-    assert not seen.in_doubt(writer, NOW + DOUBT_TIME)
-    assert not seen.in_doubt(reader, NOW)
+        seen.attempt_failed(w, NOW)
+    assert seen.is_suspect(writer, NOW + DOUBT_TIME - 0.1)
+    assert not seen.is_suspect(writer, NOW + DOUBT_TIME)
+    assert not seen.is_suspect(reader, NOW)
 
 
 def test_lost_probes_eject_a_server_only_where_nothing_else_has_been_heard_of_it() -> None:
     seen, silent, heard = health(may_probe=True), worker(1), worker(2)
     now = NOW + SILENT_AFTER + 0.1
-    seen.answered(heard, now)
+    seen.attempt_succeeded(heard, now)
     lost = [[seen.probe_ended(w, False, now) for _ in range(PROBE_FAILS)] for w in (silent, heard)]
     assert lost == [[False] * (PROBE_FAILS - 1) + [True], [False] * PROBE_FAILS]
 
@@ -124,31 +124,31 @@
     for w in (writer, reader):
         waiting(w, NOW, read=w is reader)
         seen.probe_ended(w, True, now)
-    assert seen.late(writer, now) and not seen.late(reader, now)
-    assert not seen.overdue(writer, now)
-    assert seen.overdue(writer, NOW + SILENT_TIMES * SILENT_AFTER + 0.01)
+    assert seen.is_silent(writer, now) and not seen.is_silent(reader, now)
+    assert not seen.exceeds_silence_limit(writer, now)
+    assert seen.exceeds_silence_limit(writer, NOW + SILENT_TIMES * SILENT_AFTER + 0.01)
 
 
 def probes(**kw: Any) -> Probes:
     base: dict[str, Any] = {"may_probe": True, "report_fields": ("utilization",)}
     figures = settings(**(base | kw))
     gossip = Gossip(figures)
-    return Probes(figures, Health(figures, ZoneReachability(), gossip, Waits(gossip), Paces()))
+    return Probes(figures, Health(figures, ZoneReachability(), gossip, QueueWaits(gossip), ReadPaces()))
 
 
 def test_probes_for_load_are_held_to_a_budget_that_requests_earn() -> None:
     due, writers = probes(), [worker(n) for n in range(20)]
     assert len(due.due(writers, Random(1), NOW)) == int(MAX_BUDGET)
     assert due.due(writers, Random(1), NOW) == []
-    due.arrived()
+    due.request_arrived()
     assert len(due.due(writers, Random(1), NOW)) == int(PER_REQUEST)
 
 
 def test_the_stalest_are_probed_first_and_fresh_reports_are_not_asked_for_again() -> None:
     due, writers = probes(), [worker(n) for n in range(8)]
     for w in writers:
-        w.probe_at = NOW - MIN_AGE - w.info.id
-    writers[7].probe_at = NOW - MIN_AGE / 2
+        w.probed_at = NOW - MIN_AGE - w.info.id
+    writers[7].probed_at = NOW - MIN_AGE / 2
     assert [w.info.id for w in due.due(writers, Random(1), NOW)] == [6, 5, 4, 3, 2, 1]
 
 
@@ -167,11 +167,11 @@
     now = NOW + SILENT_AFTER + 0.1
     for _ in range(10):
         assert due.due([silent], Random(1), now) == [silent]
-    silent.probing = True
+    silent.probe_in_flight = True
     assert due.due([silent], Random(1), now) == []
 
 
 def test_of_the_writers_drawn_for_a_request_those_not_heard_lately_are_probed() -> None:
     due, fresh, stale = probes(), worker(1), worker(2)
     fresh.load, fresh.load_at = Load(), NOW - MIN_AGE_DRAWN / 2
-    assert due.drawn([fresh, stale], NOW) == [stale]
+    assert due.due_among([fresh, stale], NOW) == [stale]
--- a/tests/test_hold_queue.py
+++ b/tests/test_hold_queue.py
@@ -14,11 +14,11 @@
 
 def request(name: str, cst: float = 0.0, over: bool = False) -> Request:
     event = RequestArrived(name, 0, 0, name, 60.0, 100.0)
-    return Request(event, 0, NOW, NOW + 60.0, NOW + 1.0, cst=cst, over=over)
+    return Request(event, 0, NOW, NOW + 60.0, NOW + 1.0, service_time=cst, over_quota=over)
 
 
 def names(queue: HoldQueue, now: float) -> list[str]:
-    return [queue.pop(now).ev.id for _ in range(queue.count)]
+    return [queue.pop(now).arrival.id for _ in range(queue.count)]
 
 
 def test_the_lowest_cst_goes_first_and_equals_in_the_order_of_arrival() -> None:
@@ -52,10 +52,10 @@
             queue.remove(one)
             queue.remove(one)
         else:
-            stays.append(one.ev.id)
+            stays.append(one.arrival.id)
     assert queue.count == len(stays)
     assert sorted(names(queue, NOW + wait)) == sorted(stays)
-    queue.tidy()
+    queue.compact()
     assert queue.count == 0 and not list(queue)
 
 
@@ -67,6 +67,6 @@
         one = request(str(number))
         queue.push(one, NOW)
         queue.remove(one)
-        queue.tidy()
+        queue.compact()
         assert len(list(queue)) <= 4 * queue.count + SLACK
     assert queue.pop(NOW) is stays
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -123,7 +123,7 @@
     import_state(new.c, got.module, old.now)
     assert new.c.sessions == {"s": Session(1.5, old.c.sessions["s"].reader, 1000.0, old.c.sessions["s"].at)}
     assert new.c.prefix_cache.uses.keys() == old.c.prefix_cache.uses.keys()
-    assert new.c.paces.of[Role.READER] == old.c.paces.of[Role.READER] > 0
+    assert new.c.paces.by_role[Role.READER] == old.c.paces.by_role[Role.READER] > 0
     assert (new.c.workers[1].errors, new.c.workers[1].ejected) == (0.7, 105.0)
     # Both may send to a cold server for a moment: they have the budget of one.
     assert old.c.workers[1].cold_level == new.c.workers[1].cold_level == 1.5
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from hopshed.backlog import EXCESS_FADES, QUEUE_MOST, Backlog
-from hopshed.gossip import MOST_STEPS, NO_TEXT, READING, READING_BYTES, Gossip, Reading, tag
+from hopshed.gossip import MOST_STEPS, NO_PREFIX, READING, READING_BYTES, Gossip, ReadSent, short_tag
 from hopshed.interface import ListKind, Log, Outcome, PeerSaid, Role, Send, ServersListed, StreamStarted, Tell
 from hopshed.popularity import DOUBT, DROPPED, Popularity
 from hopshed.prefix_cache import MAX_ENTRIES, PrefixCacheIndex
-from hopshed.read_pace import Paces
+from hopshed.read_pace import ReadPaces
 from hopshed.rendezvous import Rendezvous
 from hopshed.state import Worker
 from hopshed.topology import LEAN_LEAST, LEAN_MOST, Topology
@@ -29,14 +29,14 @@
 
 def gossip(*servers: int, **kw: Any) -> Gossip:
     one = Gossip(settings(**(dict[str, Any](may_tell=True, instances=40) | kw)))
-    one.listed(servers)
+    one.set_servers(servers)
     return one
 
 
 def fleet_of(**kw: Any) -> Bench:
     """A router of many that knows its readers' pace: 10,000 tokens a second."""
     b = Bench(FLEET, **(dict[str, Any](may_tell=True, instances=40) | kw))
-    b.c.paces.resume(dict.fromkeys(Role, 1e-4), 50)
+    b.c.paces.restore(dict.fromkeys(Role, 1e-4), 50)
     return b
 
 
@@ -58,17 +58,17 @@
     queue = Backlog()
     mark = queue.add(1.0, 10.0)
     queue.add(0.7, 10.1)
-    queue.read(mark, 2.0, 2.0, 12.0)
+    queue.read_ended(mark, 2.0, 2.0, 12.0)
     assert queue.wait(12.0) == pytest.approx(0.7)
 
 
 def test_a_wait_that_the_queue_does_not_explain_counts_for_a_while() -> None:
     queue = Backlog()
-    assert queue.waited(0.2, 0.3, 10.0) == 0.0 and queue.wait(10.0) == 0.0
-    assert queue.waited(2.3, 0.3, 10.0) == pytest.approx(2.0)
+    assert queue.wait_observed(0.2, 0.3, 10.0) == 0.0 and queue.wait(10.0) == 0.0
+    assert queue.wait_observed(2.3, 0.3, 10.0) == pytest.approx(2.0)
     assert queue.wait(10.0) == pytest.approx(1.0)
-    queue.told(3.0, 10.0)
-    queue.told(0.1, 10.0)  # the longer one stands
+    queue.wait_reported(3.0, 10.0)
+    queue.wait_reported(0.1, 10.0)  # the longer one stands
     assert queue.wait(10.0) == pytest.approx(3.0)
     assert queue.wait(10.0 + 5 * EXCESS_FADES) < 0.05
 
@@ -79,9 +79,9 @@
     for work, later in sends:
         now += later
         queue.add(work, now)
-        assert 0.0 <= queue.wait(now) <= queue.sent + 1e-6
-    queue.read(queue.sent, 1.0, 1.0, now)
-    assert queue.wait(now) == 0.0 and queue.share(now + 100.0) < 1e-3
+        assert 0.0 <= queue.wait(now) <= queue.total_sent + 1e-6
+    queue.read_ended(queue.total_sent, 1.0, 1.0, now)
+    assert queue.wait(now) == 0.0 and queue.read_share(now + 100.0) < 1e-3
 
 
 def test_no_word_keeps_a_server_out_for_long() -> None:
@@ -89,7 +89,7 @@
     mark = queue.add(1.0, 10.0)
     queue.add(1e6, 10.0)
     assert queue.wait(10.0) == QUEUE_MOST
-    queue.read(mark, 1.0, 1.0, 11.0)
+    queue.read_ended(mark, 1.0, 1.0, 11.0)
     assert queue.wait(11.0) == QUEUE_MOST and queue.wait(11.0 + QUEUE_MOST) == 0.0
 
 
@@ -98,43 +98,45 @@
 
 def test_a_read_comes_as_it_was_told() -> None:
     one, other = gossip(7, 8), gossip(7, 8)
-    word = one.reading(7, 4 * STEP, "manual", 0.0)
+    word = one.read_message(7, 4 * STEP, "manual", 0.0)
     assert word is not None and len(word) == READING_BYTES
-    said = other.hear(word, 1.0)
-    assert isinstance(said, Reading) and (said.servers, said.text) == ((7,), tag("manual"))
+    said = other.receive(word, 1.0)
+    assert isinstance(said, ReadSent) and (said.servers, said.prefix_tag) == ((7,), short_tag("manual"))
     assert said.work == pytest.approx(4 * STEP)
-    said = other.hear(one.reading(8, 2 * STEP, None, 0.0) or b"", 1.0)
-    assert isinstance(said, Reading) and (said.servers, said.text) == ((8,), NO_TEXT)
+    said = other.receive(one.read_message(8, 2 * STEP, None, 0.0) or b"", 1.0)
+    assert isinstance(said, ReadSent) and (said.servers, said.prefix_tag) == ((8,), NO_PREFIX)
 
 
 def test_small_reads_are_told_by_chance_and_sum_up() -> None:
     """Every one told would cost twice as much; none told would leave a server full of them idle to others."""
     one, other, draw = gossip(7), gossip(7), Random(3)
-    words = [one.reading(7, 0.2 * STEP, None, draw.random()) for _ in range(4000)]
-    heard = [other.hear(word, 1.0) for word in words if word is not None]
+    words = [one.read_message(7, 0.2 * STEP, None, draw.random()) for _ in range(4000)]
+    heard = [other.receive(word, 1.0) for word in words if word is not None]
     assert len(heard) < 1200
-    assert sum(said.work for said in heard if isinstance(said, Reading)) == pytest.approx(800 * STEP, rel=0.1)
+    assert sum(said.work for said in heard if isinstance(said, ReadSent)) == pytest.approx(
+        800 * STEP, rel=0.1
+    )
 
 
 def test_a_read_of_any_length_fits_its_byte() -> None:
-    word = gossip(7).reading(7, 1e9, None, 0.5)
+    word = gossip(7).read_message(7, 1e9, None, 0.5)
     assert word is not None and word[1] == MOST_STEPS
 
 
 @pytest.mark.parametrize("kw", [{"may_tell": False}, {"instances": 1}])
 def test_no_read_is_told_where_it_is_not_permitted_or_nobody_listens(kw: dict[str, object]) -> None:
-    assert gossip(7, **kw).reading(7, 100.0, None, 0.5) is None
+    assert gossip(7, **kw).read_message(7, 100.0, None, 0.5) is None
 
 
 @given(st.binary(min_size=5, max_size=5))
 def test_words_of_servers_that_are_not_listed_change_nothing(data: bytes) -> None:
     b = fleet_of()
-    before = [(w.info.id, w.backlog.sent) for w in b.c.workers.values()]
-    known = {tag(str(n)) for n in b.c.workers}
+    before = [(w.info.id, w.backlog.total_sent) for w in b.c.workers.values()]
+    known = {short_tag(str(n)) for n in b.c.workers}
     assert not only(b.do(PeerSaid(3, READING + data)), Log)
     if data[1:3].hex() not in known:
         assert [
-            (w.info.id, w.backlog.sent) for w in b.c.workers.values()
+            (w.info.id, w.backlog.total_sent) for w in b.c.workers.values()
         ] == before and not b.c.prefix_cache.uses
 
 
@@ -148,7 +150,7 @@
 
 
 def told(b: Bench, number: int, work: float, prefix: str | None = None) -> None:
-    word = gossip(*b.c.workers).reading(number, work, prefix, 0.0)
+    word = gossip(*b.c.workers).read_message(number, work, prefix, 0.0)
     assert word is not None
     b.do(PeerSaid(9, word))
 
@@ -198,8 +200,12 @@
     b = fleet_of()
     acts = b.arrive("r", prefix="manual", prefix_tokens=900.0, prompt_tokens=8000.0)
     (word,) = [a.data for a in only(acts, Tell)]
-    said = gossip(*b.c.workers).hear(word, b.now)
-    assert isinstance(said, Reading) and said.servers == tuple(b.attempts["r"]) and said.text == tag("manual")
+    said = gossip(*b.c.workers).receive(word, b.now)
+    assert (
+        isinstance(said, ReadSent)
+        and said.servers == tuple(b.attempts["r"])
+        and said.prefix_tag == short_tag("manual")
+    )
     assert said.work == pytest.approx(0.8, abs=STEP)
     assert not [a for a in only(b.read("r", after=0.8), Tell) if a.data[:1] == READING]
 
@@ -228,10 +234,10 @@
 ) -> None:
     one, other, less = Rendezvous(500), Rendezvous(500), Rendezvous(500)
     everything = {n * seed: 1.0 for n in range(1, count + 1)}
-    one.servers(everything)
-    other.servers(dict(reversed(everything.items())))
+    one.set_weights(everything)
+    other.set_weights(dict(reversed(everything.items())))
     gone = seed
-    less.servers({n: part for n, part in everything.items() if n != gone})
+    less.set_weights({n: part for n, part in everything.items() if n != gone})
     for text in (f"text {n}" for n in range(60)):
         order = one.order(text)
         assert order == other.order(text)
@@ -284,7 +290,7 @@
     home = home_of("manual")
     for gap, keeps in ((0.1, True), (1.0, False)):  # s between its turns, eight readers
         b = fleet_of()
-        b.c.waits.gap, b.c.waits.came = gap, b.now - gap
+        b.c.waits.mean_arrival_gap, b.c.waits.last_arrival = gap, b.now - gap
         told(b, home, 0.2)
         b.arrive("r", prefix="manual", prefix_tokens=900.0, prompt_tokens=1000.0)
         assert (b.attempts["r"][0] == home) is keeps
@@ -298,19 +304,19 @@
 def test_a_slow_servers_queue_takes_longer() -> None:
     queue = Backlog()
     mark = queue.add(0.4, 10.0)
-    queue.read(mark, 2.0, 0.4, 12.0)  # took five times as long
-    assert 2.0 < queue.stretch(12.0) < 4.0
+    queue.read_ended(mark, 2.0, 0.4, 12.0)  # took five times as long
+    assert 2.0 < queue.slowdown(12.0) < 4.0
     queue.add(0.5, 12.0)
-    assert queue.wait(12.0) == pytest.approx(0.5 * queue.stretch(12.0))
+    assert queue.wait(12.0) == pytest.approx(0.5 * queue.slowdown(12.0))
     assert queue.wait(12.5) > 0.5  # it works it off as slowly
-    assert queue.stretch(80.0) < 1.01
+    assert queue.slowdown(80.0) < 1.01
 
 
 @pytest.mark.parametrize("told_of", [True, False])
 def test_the_longest_prompts_are_not_refused_for_the_length_of_their_read(told_of: bool) -> None:
     """Their read, which is known, may take most of the aim: kowhai's calm+mass answered half of them."""
     b = fleet_of(may_tell=told_of)
-    b.c.waits.gap = 1.0
+    b.c.waits.mean_arrival_gap = 1.0
     assert only(b.arrive("long", prompt_tokens=15000.0), Send)  # 1.5 s of 1.6
 
 
@@ -326,7 +332,7 @@
 
 def test_the_first_token_of_a_whole_turn_ends_its_read() -> None:
     b = Bench((server(21, 2), server(22, 2)), may_tell=True, instances=40)
-    b.c.paces.resume(dict.fromkeys(Role, 1e-4), 50)
+    b.c.paces.restore(dict.fromkeys(Role, 1e-4), 50)
     b.arrive("r")
     worker = b.c.workers[b.attempts["r"][0]]
     assert worker.role is Role.MIXED
@@ -339,9 +345,9 @@
     home = home_of("manual")
     for slow in (False, True):
         b = fleet_of()
-        b.c.waits.gap, b.c.waits.came = 0.1, b.now - 0.1
+        b.c.waits.mean_arrival_gap, b.c.waits.last_arrival = 0.1, b.now - 0.1
         queue = b.c.workers[home].backlog
-        queue.read(queue.add(0.1, b.now), 2.0 if slow else 0.1, 0.1, b.now)
+        queue.read_ended(queue.add(0.1, b.now), 2.0 if slow else 0.1, 0.1, b.now)
         assert queue.wait(b.now) == 0.0
         b.arrive("r", prefix="manual", prefix_tokens=900.0, prompt_tokens=3000.0)
         assert (b.attempts["r"][0] == home) is not slow
@@ -351,7 +357,7 @@
     """0.4 s of waiting against 0.28 s of reading that an idle server's other turns would wait for, too."""
     home = home_of("manual")
     b = fleet_of()
-    b.c.waits.gap, b.c.waits.came = 1.0, b.now - 1.0
+    b.c.waits.mean_arrival_gap, b.c.waits.last_arrival = 1.0, b.now - 1.0
     told(b, home, 0.4, "manual")
     b.arrive("r", prefix="manual", prefix_tokens=2800.0, prompt_tokens=3000.0)
     assert b.attempts["r"] == [home]
@@ -363,11 +369,11 @@
 def test_a_common_beginning_has_more_homes_and_one_that_never_came_has_one() -> None:
     counts = Popularity()
     for n in range(100):
-        counts.came("common" if n % 2 else f"text {n}", 10.0)
-    assert counts.homes("common", 20, 10.0) == round(49 / (100 + DOUBT) * 20)
-    assert counts.homes("text 2", 20, 10.0) == counts.homes("new", 20, 10.0) == 1
-    assert counts.homes(None, 20, 10.0) == round(99 / (100 + DOUBT) * 20)  # each session has its own
-    counts.fade(10.0 + DROPPED + 1)
+        counts.prefix_arrived("common" if n % 2 else f"text {n}", 10.0)
+    assert counts.home_count("common", 20, 10.0) == round(49 / (100 + DOUBT) * 20)
+    assert counts.home_count("text 2", 20, 10.0) == counts.home_count("new", 20, 10.0) == 1
+    assert counts.home_count(None, 20, 10.0) == round(99 / (100 + DOUBT) * 20)  # each session has its own
+    counts.expire(10.0 + DROPPED + 1)
     assert not counts.seen
 
 
@@ -376,10 +382,10 @@
     kinds = ((0, 1), (1, 1), (1, 1), (0, 2), (1, 3))  # each server's kind and cell
     workers = [Worker(server(n, k, cell=cell), roles[k], 0.0, 0.0) for n, (k, cell) in enumerate(kinds)]
     topology = Topology()
-    topology.listed(workers)
-    assert topology.cell(workers[0]) == pytest.approx((2 / 3) / (1 / 2))
-    assert topology.weight(workers[0]) == LEAN_MOST and topology.weight(workers[3]) == LEAN_LEAST
-    assert topology.weight(workers[4]) == LEAN_MOST  # no reader there
+    topology.rebuild(workers)
+    assert topology.cell_balance(workers[0]) == pytest.approx((2 / 3) / (1 / 2))
+    assert topology.home_weight(workers[0]) == LEAN_MOST and topology.home_weight(workers[3]) == LEAN_LEAST
+    assert topology.home_weight(workers[4]) == LEAN_MOST  # no reader there
 
 
 # ---- paces, texts, zones ----
@@ -387,28 +393,30 @@
 
 def test_a_mixed_servers_own_pace_replaces_the_readers_that_stood_in_for_it() -> None:
     """It reads at half their pace; its first reads were passed over as outliers, and all later ones, too."""
-    paces = Paces()
+    paces = ReadPaces()
     paces.learn(Role.READER, 4000.0, 0.2)
-    assert paces.of[Role.MIXED] == paces.of[Role.READER] == pytest.approx(5e-5)
+    assert paces.by_role[Role.MIXED] == paces.by_role[Role.READER] == pytest.approx(5e-5)
     paces.learn(Role.MIXED, 4000.0, 0.6)
-    assert paces.of[Role.MIXED] == pytest.approx(1.5e-4) and paces.of[Role.READER] == pytest.approx(5e-5)
+    assert paces.by_role[Role.MIXED] == pytest.approx(1.5e-4) and paces.by_role[Role.READER] == pytest.approx(
+        5e-5
+    )
     paces.learn(Role.MIXED, 4000.0, 60.0)  # a jam is no pace
     paces.learn(Role.MIXED, 1.0, 0.4)  # nor is a prompt that was kept whole
-    assert paces.of[Role.MIXED] == pytest.approx(1.5e-4)
+    assert paces.by_role[Role.MIXED] == pytest.approx(1.5e-4)
 
 
 def test_a_successor_knows_which_paces_are_its_own() -> None:
-    paces = Paces()
-    paces.resume({Role.READER: 5e-5, Role.MIXED: 5e-5}, 9)
-    assert paces.own == {Role.READER}
-    paces.resume({Role.READER: 5e-5, Role.MIXED: 1e-4}, 9)
-    assert paces.own == {Role.READER, Role.MIXED}
+    paces = ReadPaces()
+    paces.restore({Role.READER: 5e-5, Role.MIXED: 5e-5}, 9)
+    assert paces.measured == {Role.READER}
+    paces.restore({Role.READER: 5e-5, Role.MIXED: 1e-4}, 9)
+    assert paces.measured == {Role.READER, Role.MIXED}
 
 
 def test_texts_are_bounded_and_the_latest_stay() -> None:
     kept = PrefixCacheIndex()
     for n in range(MAX_ENTRIES + 10):
-        kept.used(n, tag("manual"), float(n))
+        kept.record_use(n, short_tag("manual"), float(n))
     assert (
         len(kept.uses) == MAX_ENTRIES
         and kept.holds(MAX_ENTRIES + 9, "manual")
@@ -444,7 +452,7 @@
     for silent, later, zones in (((1,), 0, {0, 1}), ((1, 3), 0, {0}), ((1, 3), AVOIDED_FOR + 0.1, {0, 1})):
         b = Bench(ZONES)  # a machine alone is no zone
         for number in silent:
-            b.c.zones.silent(1, number, 0.25, b.now)
+            b.c.zones.attempt_unanswered(1, number, 0.25, b.now)
         b.now += later
         assert zones_of(b, "r") == zones
 
@@ -453,12 +461,12 @@
     b = Bench(ZONES)
     lost(b, "a", 1)
     lost(b, "b", 1)
-    silent = b.c.zones.cut_off(b.now)
+    silent = b.c.zones.unreachable(b.now)
     assert silent <= {1}
-    b.c.zones.silent(1, 99, 0.25, b.now)
-    assert b.c.zones.cut_off(b.now) == {1}
-    b.c.zones.alive(1)
-    assert not b.c.zones.cut_off(b.now)
+    b.c.zones.attempt_unanswered(1, 99, 0.25, b.now)
+    assert b.c.zones.unreachable(b.now) == {1}
+    b.c.zones.server_answered(1)
+    assert not b.c.zones.unreachable(b.now)
 
 
 def test_the_end_of_a_read_is_a_sign_of_life_of_its_zone() -> None:
@@ -467,25 +475,25 @@
     for rid in turns:
         b.arrive(rid)
     there = next(rid for rid in turns if b.c.workers[b.attempts[rid][0]].info.zone == 1)
-    b.c.zones.silent(1, 1, 0.25, b.now)
-    b.c.zones.silent(1, 3, 0.25, b.now)
-    assert b.c.zones.cut_off(b.now) == {1}
+    b.c.zones.attempt_unanswered(1, 1, 0.25, b.now)
+    b.c.zones.attempt_unanswered(1, 3, 0.25, b.now)
+    assert b.c.zones.unreachable(b.now) == {1}
     b.read(there)
-    assert not b.c.zones.cut_off(b.now)
+    assert not b.c.zones.unreachable(b.now)
 
 
 def test_a_refused_connection_is_a_process_and_not_a_zone() -> None:
     zones = ZoneReachability()
-    zones.silent(1, 5, 0.002, 100.0)
-    zones.silent(1, 6, 0.002, 100.0)
-    assert not zones.cut_off(100.0)
+    zones.attempt_unanswered(1, 5, 0.002, 100.0)
+    zones.attempt_unanswered(1, 6, 0.002, 100.0)
+    assert not zones.unreachable(100.0)
 
 
 def test_where_every_zone_is_cut_off_none_is_left_out() -> None:
     b = Bench(ZONES)
     for zone, number in ((0, 2), (0, 4), (1, 1), (1, 3)):
-        b.c.zones.silent(zone, number, 0.25, b.now)
-    assert b.c.zones.cut_off(b.now) == {0, 1} and zones_of(b, "r", 6)
+        b.c.zones.attempt_unanswered(zone, number, 0.25, b.now)
+    assert b.c.zones.unreachable(b.now) == {0, 1} and zones_of(b, "r", 6)
 
 
 # ---- what makes no sense ----
@@ -493,10 +501,10 @@
 
 def test_a_worker_that_states_more_kept_than_was_asked_teaches_no_pace() -> None:
     b = fleet_of()
-    paces = dict(b.c.paces.of)
+    paces = dict(b.c.paces.by_role)
     b.arrive("r", prefix="manual", prefix_tokens=900.0)
     b.end("r", Outcome.READ, after=0.001, note=10**9)
-    assert b.c.paces.of == paces
+    assert b.c.paces.by_role == paces
     worker = b.c.workers[b.attempts["r"][0]]
     assert worker.hit <= 1.0 and worker.backlog.wait(b.now) >= 0.0
 
@@ -506,5 +514,5 @@
     for rid in ("first", "again"):  # the second finds it kept
         assert only(b.arrive(rid, prefix="manual", prefix_tokens=1e8, prompt_tokens=50.0), Send)
         attempt = b.c.requests[rid].attempts[0]
-        assert attempt.tokens >= 0.0 and attempt.expected >= 0.0
+        assert attempt.fresh_tokens >= 0.0 and attempt.expected_read_time >= 0.0
         b.end(rid, Outcome.READ, after=0.01)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -151,7 +151,7 @@
 
 class Forgetful(Controller):
     def _drop(self, req):
-        req.state = None
+        req.state_reader = None
         super()._drop(req)
 
 
@@ -173,7 +173,7 @@
 
 class Twice(Controller):
     def _close(self, req):
-        self.actions.append(Refuse(req.ev.id))
+        self.actions.append(Refuse(req.arrival.id))
         super()._close(req)
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -100,12 +100,12 @@
 
 def test_words_of_1024_servers_are_kept_and_told() -> None:
     words = Gossip(wire.settings(ENV | {"instances": COUNT, "caps": {"may-tell": True}}))
-    words.listed(range(1, COUNT + 1))
+    words.set_servers(range(1, COUNT + 1))
     for server in range(1, COUNT + 1):
-        told = words.failed(server, 10.0)
+        told = words.failure_message(server, 10.0)
         assert told is not None and len(told) <= 256
-        words.hear(told, 10.0)
-    assert all(words.doubted(server, 10.1) for server in range(1, COUNT + 1))
+        words.receive(told, 10.0)
+    assert all(words.is_suspect(server, 10.1) for server in range(1, COUNT + 1))
 
 
 def test_messages_of_1024_routers_are_known_by_their_sender() -> None:
