--- a/hopshed/gossip.py
+++ b/hopshed/gossip.py
@@ -1,12 +1,18 @@
-"""What routers tell one another of failing servers, where the deployment lets them. No clock, no I/O.
+"""Messages between routers about failing servers, long waits and reads. No clock, no I/O.
 
-One of many routers meets each server too rarely to find out by itself which ones fail what they get: of the
-unsafe turns that such servers spoil, nine in ten go to one that another router has seen failing already.
-A message is a kind of one byte and a server's number; whoever hears of a failure doubts that server for a
-while. Of a server with a long wait the message has that, too: else each router waits there to learn of it.
+One of many routers sends to each server too rarely to detect alone which servers fail: of the unsafe
+requests that such servers spoil, nine in ten are sent after another router has seen the server fail. So
+failures are told to all routers, which suspect the server for a while. Long waits at a server are told as
+well, as otherwise each router has to wait there to learn of them.
 
-Reads are told as they are sent: steps of reading time, a tag of the server and one of the shared beginning.
-A small read is told by chance, in proportion: the sum is right, and most messages, which cost, stay unsent.
+Reads are told when they are sent: the reading time in steps, a tag of the server and a tag of the prefix. A
+read shorter than a step is told at random, with a probability in proportion to its time: the sum over all
+reads stays right and most messages, which cost CPU time at every router, are not sent.
+
+A message begins with a byte for its kind:
+    F  a server failed: its number
+    S  a request waited long at a server: its number, the wait in tenths of a second
+    R  a read was sent: its steps, tag of the server, tag of the prefix
 """
 
 from __future__ import annotations
@@ -19,133 +25,154 @@
 
 from .interface import Settings
 
-FAILING, SLOW, READING = b"F", b"S", b"R"
-NUMBER_BYTES, TAG_BYTES, READING_BYTES = 8, 2, 6
-STEP_PARTS, STEP_ROUTERS = (0.1, 0.3), 200.0  # a step's part of the shortest aim: one for so many routers,
-MOST_STEPS = 255  # since each that hears costs, within bounds; steps are told in one byte
-TAGS_KEPT = 1024  # names that are not hashed anew
-NO_PREFIX = "0000"  # tag of a prompt that shares no beginning
-DOUBTED_FOR = 10.0  # s for which a failure that another router has seen puts a server in doubt
-SAID_FOR = 5.0  # s in which a server's failures are not spoken of again, whoever spoke
-WAIT_FOR = 2.0  # s in which its waits are not: so long what was told is believed
-KEPT = 1024  # servers of which words are kept; a message may name any number, old words then go first
-TENTHS, MOST_TENTHS = 10.0, 255  # a wait is told in tenths of a s, in one byte
+FAILING = b"F"
+SLOW = b"S"
+READING = b"R"
+SERVER_NUMBER_BYTES = 8
+TAG_BYTES = 2
+READING_BYTES = 6  # length of a message about a read
+# A step of reading time is the shortest aim of all classes times instances / STEP_ROUTERS, a factor that is
+# held within the range. Larger tiers have longer steps because each message costs every router.
+STEP_SHARE_RANGE = (0.1, 0.3)
+STEP_ROUTERS = 200.0
+MOST_STEPS = 255  # steps; the message has one byte for them
+TAG_CACHE_SIZE = 1024  # tags
+NO_PREFIX = "0000"  # tag of a prompt without a shared prefix
+SUSPECT_FOR_S = 10.0  # time after a failure at another router for which a server is suspect
+FAILURE_INTERVAL_S = 5.0  # least time between two messages about failures of a server, by any router
+WAIT_INTERVAL_S = 2.0  # the same for messages about waits at a server; a told wait is used for as long
+MAX_SERVERS = 1024  # entries; beyond it old ones are dropped, as a message may have any server number
+WAIT_UNITS_PER_S = 10.0  # a message has the wait in tenths of a second
+MAX_WAIT_UNITS = 255  # tenths of a second; the message has one byte for them
 
 
 class SlowServer(NamedTuple):
-    """A router waited so long at a server, in s."""
+    """Another router observed a long wait at a server."""
 
     server: int
-    wait: float
+    wait: float  # seconds
 
 
 class ReadSent(NamedTuple):
-    """A router sent a read: s of the server's time, and the tag of the shared beginning left there."""
+    """Another router sent a read to a server, which will have the prompt's prefix in its cache."""
 
-    servers: tuple[int, ...]  # with this tag: one, or seldom more
-    work: float
+    servers: tuple[int, ...]  # the servers that the message's tag stands for: one, rarely more
+    work: float  # seconds of the server's time
     prefix_tag: str
 
 
-@lru_cache(TAGS_KEPT)  # a turn asks for that of its beginning at each server that it may go to
+@lru_cache(TAG_CACHE_SIZE)  # placing a request needs its prefix's tag for each candidate server
 def short_tag(key: str) -> str:
-    """A short name of a server or a shared beginning, the same at all routers; a few of many share one."""
+    """A short hash of a server's number or a prefix's name, equal at all routers. Collisions are possible."""
     return blake2b(key.encode(), digest_size=TAG_BYTES).hexdigest()
 
 
 class Gossip:
+    """Encodes this router's messages, decodes those of others and keeps which servers are suspect."""
+
     def __init__(self, settings: Settings) -> None:
         self.enabled = settings.may_tell and settings.instances > 1
-        least, most = STEP_PARTS
-        part = min(most, max(least, settings.instances / STEP_ROUTERS))
-        self._step = part * min(cls.aim for cls in settings.classes)  # s
-        self._tags: dict[str, tuple[int, ...]] = {}  # tag -> servers
-        self._named: dict[int, str] = {}  # server -> its tag
-        self._heard: dict[int, float] = {}  # server -> when another router last saw it failing
-        self._said: dict[int, float] = {}  # server -> when we last told of it
-        self._waits: dict[int, float] = {}  # server -> when its wait was last told, by whomever
+        least, most = STEP_SHARE_RANGE
+        share = min(most, max(least, settings.instances / STEP_ROUTERS))
+        self._step = share * min(cls.aim for cls in settings.classes)  # seconds of reading time
+        self._tags: dict[str, tuple[int, ...]] = {}  # tag -> servers that it stands for
+        self._tag_by_server: dict[int, str] = {}
+        self._failure_heard_at: dict[int, float] = {}  # by server; messages of other routers
+        self._failure_told_at: dict[int, float] = {}  # by server; messages of this router
+        self._wait_told_at: dict[int, float] = {}  # by server; messages of any router
 
     def failure_message(self, server: int, now: float) -> bytes | None:
-        """A server has failed an attempt of ours: what to tell the others of it, if they need to be told."""
-        last = max(self._heard.get(server, -math.inf), self._said.get(server, -math.inf))
-        if not self.enabled or now - last < SAID_FOR:
+        """The message for an attempt that failed at a server; None where none is due."""
+        last = max(
+            self._failure_heard_at.get(server, -math.inf), self._failure_told_at.get(server, -math.inf)
+        )
+        if not self.enabled or now - last < FAILURE_INTERVAL_S:
             return None
-        self._said[server] = now
-        return FAILING + server.to_bytes(NUMBER_BYTES, "big")
+        self._failure_told_at[server] = now
+        return FAILING + server.to_bytes(SERVER_NUMBER_BYTES, "big")
 
     def slow_message(self, server: int, wait: float, now: float) -> bytes | None:
-        """We waited so long at a server, in s: what to tell the others of it, if they need to be told."""
-        if not self.enabled or now - self._waits.get(server, -math.inf) < WAIT_FOR:
+        """The message for a wait at a server, in seconds; None where none is due."""
+        if not self.enabled or now - self._wait_told_at.get(server, -math.inf) < WAIT_INTERVAL_S:
             return None
-        self._waits[server] = now
-        tenths = min(MOST_TENTHS, round(wait * TENTHS))
-        return SLOW + server.to_bytes(NUMBER_BYTES, "big") + bytes([tenths])
+        self._wait_told_at[server] = now
+        units = min(MAX_WAIT_UNITS, round(wait * WAIT_UNITS_PER_S))
+        return SLOW + server.to_bytes(SERVER_NUMBER_BYTES, "big") + bytes([units])
 
     def set_servers(self, servers: Iterable[int]) -> None:
-        """The servers that words may be of."""
-        known = self._named
-        self._named = {server: known.get(server) or short_tag(str(server)) for server in servers}
-        if self._named.keys() == known.keys():
+        """Replace the servers that tags in messages can stand for."""
+        known = self._tag_by_server
+        self._tag_by_server = {server: known.get(server) or short_tag(str(server)) for server in servers}
+        if self._tag_by_server.keys() == known.keys():
             return
         self._tags = {}
-        for server, named in self._named.items():
-            self._tags[named] = (*self._tags.get(named, ()), server)
+        for server, tag in self._tag_by_server.items():
+            self._tags[tag] = (*self._tags.get(tag, ()), server)
 
     def add_server(self, server: int) -> None:
-        """A server that words may be of, beside those of the list."""
-        if server not in self._named:
-            named = self._named[server] = short_tag(str(server))
-            self._tags[named] = (*self._tags.get(named, ()), server)
-
-    def read_message(self, server: int, work: float, prefix: str | None, chance: float) -> bytes | None:
-        """A read of so many s is sent: what to tell the others of it, if anything; `chance` = 0 to 1."""
-        steps = min(MOST_STEPS, int(work / self._step + chance)) if self._step > 0 else 0
+        """Add a server that tags in messages can stand for."""
+        if server not in self._tag_by_server:
+            tag = self._tag_by_server[server] = short_tag(str(server))
+            self._tags[tag] = (*self._tags.get(tag, ()), server)
+
+    def read_message(self, server: int, work: float, prefix: str | None, draw: float) -> bytes | None:
+        """The message for a read of `work` seconds that is sent to a server; None where none is due.
+
+        `draw` is a random number from 0 to 1 by which the steps are rounded up or down."""
+        steps = min(MOST_STEPS, int(work / self._step + draw)) if self._step > 0 else 0
         if not self.enabled or steps < 1:
             return None
-        named = short_tag(str(server)) + (short_tag(prefix) if prefix else NO_PREFIX)
-        return READING + bytes([steps]) + bytes.fromhex(named)
+        tags = short_tag(str(server)) + (short_tag(prefix) if prefix else NO_PREFIX)
+        return READING + bytes([steps]) + bytes.fromhex(tags)
 
     def receive(self, data: bytes, now: float) -> SlowServer | ReadSent | None:
-        """What a message tells beyond a failure, which stays here.
+        """Decode another router's message and return its content; None for a failure, which is kept here.
 
-        Raises ValueError where a message is none of ours."""
+        Raises ValueError for a message of unknown kind or wrong length."""
         if len(data) == READING_BYTES and data[:1] == READING:
-            named, text = data[2 : 2 + TAG_BYTES].hex(), data[2 + TAG_BYTES :].hex()
-            return ReadSent(self._tags.get(named, ()), data[1] * self._step, text)
-        if len(self._heard) + len(self._waits) > KEPT:
-            self._heard = {n: at for n, at in self._heard.items() if now - at < DOUBTED_FOR}
-            self._waits = {n: at for n, at in self._waits.items() if now - at < WAIT_FOR}
-        server, rest = int.from_bytes(data[1 : 1 + NUMBER_BYTES], "big"), data[1 + NUMBER_BYTES :]
-        if len(data) == 1 + NUMBER_BYTES and data[:1] == FAILING:
-            self._heard[server] = now
+            server_tag, prefix_tag = data[2 : 2 + TAG_BYTES].hex(), data[2 + TAG_BYTES :].hex()
+            return ReadSent(self._tags.get(server_tag, ()), data[1] * self._step, prefix_tag)
+        if len(self._failure_heard_at) + len(self._wait_told_at) > MAX_SERVERS:
+            self._failure_heard_at = {
+                number: at for number, at in self._failure_heard_at.items() if now - at < SUSPECT_FOR_S
+            }
+            self._wait_told_at = {
+                number: at for number, at in self._wait_told_at.items() if now - at < WAIT_INTERVAL_S
+            }
+        server = int.from_bytes(data[1 : 1 + SERVER_NUMBER_BYTES], "big")
+        rest = data[1 + SERVER_NUMBER_BYTES :]
+        if len(data) == 1 + SERVER_NUMBER_BYTES and data[:1] == FAILING:
+            self._failure_heard_at[server] = now
             return None
-        if len(data) == 2 + NUMBER_BYTES and data[:1] == SLOW:
-            self._waits[server] = now
-            return SlowServer(server, rest[0] / TENTHS)
+        if len(data) == 2 + SERVER_NUMBER_BYTES and data[:1] == SLOW:
+            self._wait_told_at[server] = now
+            return SlowServer(server, rest[0] / WAIT_UNITS_PER_S)
         raise ValueError(f"a message of {len(data)} bytes that begins with {data[:1]!r}")
 
     def suspects(self, now: float) -> set[int]:
-        """The servers that another router has seen failing lately."""
-        return {server for server, at in self._heard.items() if now - at < DOUBTED_FOR}
+        """The servers that another router has recently seen fail."""
+        return {server for server, at in self._failure_heard_at.items() if now - at < SUSPECT_FOR_S}
 
     def is_suspect(self, server: int, now: float) -> bool:
-        return now - self._heard.get(server, -math.inf) < DOUBTED_FOR
+        """Whether another router has recently seen the server fail."""
+        return now - self._failure_heard_at.get(server, -math.inf) < SUSPECT_FOR_S
 
     def export(self) -> tuple[dict[int, float], dict[int, float], dict[int, float]]:
-        return self._heard, self._said, self._waits
+        """Times of messages by server: failures heard, failures told, waits told."""
+        return self._failure_heard_at, self._failure_told_at, self._wait_told_at
 
     def restore(self, words: tuple[dict[int, float], dict[int, float], dict[int, float]]) -> None:
-        """Go on from what another one has heard and said in this router's name."""
-        self._heard, self._said, self._waits = (dict(part) for part in words)
+        """Continue from another controller's `export`, made for the same router."""
+        self._failure_heard_at, self._failure_told_at, self._wait_told_at = (dict(part) for part in words)
 
     def remove_server(self, server: int) -> None:
-        """A server has been gone for long."""
-        if (named := self._named.pop(server, None)) is not None:
-            others = tuple(other for other in self._tags[named] if other != server)
+        """Forget a server that is gone from the list."""
+        if (tag := self._tag_by_server.pop(server, None)) is not None:
+            others = tuple(other for other in self._tags[tag] if other != server)
             if others:
-                self._tags[named] = others
+                self._tags[tag] = others
             else:
-                del self._tags[named]
-        self._heard.pop(server, None)
-        self._said.pop(server, None)
-        self._waits.pop(server, None)
+                del self._tags[tag]
+        self._failure_heard_at.pop(server, None)
+        self._failure_told_at.pop(server, None)
+        self._wait_told_at.pop(server, None)
