--- a/hopshed/health.py
+++ b/hopshed/health.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which servers fail or stay silent, and how long they are left out. No clock, no I/O."""
+"""Outlier detection: which servers fail or are silent, and how long they are ejected. No clock, no I/O."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 from .state import Worker
 from .zone_reachability import ZoneReachability
 
-ERROR_GAIN = 0.25  # weight of one answer or failure in a server's error rate
-ERROR_RATE = 0.4  # error rate that ejects
-DOUBT_RATE = 0.2  # error rate that puts a server in doubt; that of one failure is more
-DOUBT_TIME = 30.0  # s after its last failure for which it stays in doubt
-EJECT_BASE, EJECT_MAX = 2.0, 6.0  # s; the time out doubles with each ejection in a row
-EJECT_MAX_SHARE = 0.7  # part of a role that may be ejected at once
-SILENT_AFTER = 0.6  # s without an answer before a probe asks
-SILENT_WAITS = 2.0  # expected waits that are added to it
-SILENT_TIMES = 3.0  # after so many times this a writer is out, though it answers probes
-PROBE_FAILS = 2  # probes lost in a row that eject a silent server
+ERROR_GAIN = 0.25  # weight of one result in a server's error rate, an exponential moving average
+EJECTION_ERROR_RATE = 0.4  # error rate above which a server is ejected
+SUSPECT_ERROR_RATE = 0.2  # error rate above which a server is suspect; one failure suffices
+SUSPECT_FOR_S = 30.0  # time after its last failure for which a server is suspect
+EJECTION_BASE_S = 2.0  # duration of the first ejection; it doubles with each one in a row
+EJECTION_MAX_S = 6.0  # longest ejection
+EJECTED_SHARE_MAX = 0.7  # largest part of a role's servers that may be ejected at once
+SILENT_AFTER_S = 0.6  # time without an answer after which a server is probed
+SILENT_WAIT_FACTOR = 2.0  # expected waits that are added to SILENT_AFTER_S
+# A writer is ejected after so many times SILENT_AFTER_S plus the expected wait, even if it answers probes.
+SILENCE_LIMIT_FACTOR = 3.0
+PROBE_FAILURES_MAX = 2  # lost probes in a row that eject a silent server
 
 
 class Health:
-    """What a router has seen of its servers' health."""
+    """Judges servers by the results of attempts and probes, which are kept in each `Worker`."""
 
     def __init__(
         self, settings: Settings, zones: ZoneReachability, gossip: Gossip, waits: QueueWaits, paces: ReadPaces
@@ -32,83 +34,99 @@
         self._may_probe = settings.may_probe
         self._zones, self._gossip, self._waits, self._paces = zones, gossip, waits, paces
 
-    def attempt_succeeded(self, w: Worker, now: float) -> None:
-        """An attempt there has ended well, or has its first token."""
-        self._zones.server_answered(w.info.zone)
-        w.life, w.trial, w.probe_failures = now, False, 0
-        w.errors *= 1 - ERROR_GAIN
-        if now > w.ejected + EJECT_MAX:
-            w.ejections = 0
+    def attempt_succeeded(self, worker: Worker, now: float) -> None:
+        """An attempt at the server succeeded or received its first token."""
+        self._zones.server_answered(worker.info.zone)
+        worker.life, worker.trial, worker.probe_failures = now, False, 0
+        worker.errors *= 1 - ERROR_GAIN
+        if now > worker.ejected + EJECTION_MAX_S:
+            worker.ejections = 0
 
-    def attempt_failed(self, w: Worker, now: float) -> bool:
-        """An attempt there has failed; whether the server is to be ejected.
+    def attempt_failed(self, worker: Worker, now: float) -> bool:
+        """An attempt at the server failed. Returns whether the server is to be ejected.
 
-        Guards against servers that fail fast, refuse connections or let attempts run out in silence, also
-        broken links; it hurts when errors follow the request and not the server. EJECT_MAX_SHARE bounds that.
+        Guards against servers that fail quickly, refuse connections or never answer, and against broken
+        links. Where errors are caused by requests, healthy servers are ejected; EJECTED_SHARE_MAX limits it.
         """
-        w.errors, w.failed_at = w.errors + ERROR_GAIN * (1.0 - w.errors), now
-        return w.trial or w.errors > ERROR_RATE
+        worker.errors, worker.failed_at = worker.errors + ERROR_GAIN * (1.0 - worker.errors), now
+        return worker.trial or worker.errors > EJECTION_ERROR_RATE
 
-    def probe_ended(self, w: Worker, answered: bool, now: float) -> bool:
-        """A probe has been answered or was lost; whether the server is to be ejected as silent."""
-        w.probe_in_flight = False
+    def probe_ended(self, worker: Worker, answered: bool, now: float) -> bool:
+        """A probe was answered or lost. Returns whether the server is to be ejected as silent."""
+        worker.probe_in_flight = False
         if not answered:
-            w.probe_failures += 1
-            return w.probe_failures >= PROBE_FAILS and self._quiet(w, now)
-        w.probe_failures = 0
-        if not w.pending or w.role is not Role.WRITER:  # hung writers may answer probes beside their queue
-            w.life = now
+            worker.probe_failures += 1
+            return worker.probe_failures >= PROBE_FAILURES_MAX and self._no_sign_of_life(worker, now)
+        worker.probe_failures = 0
+        # A writer whose queue hangs may answer probes: they prove nothing while requests are pending there.
+        if not worker.pending or worker.role is not Role.WRITER:
+            worker.life = now
         return False
 
-    def eject(self, w: Worker, peers: Sequence[Worker], now: float) -> bool:
-        """Leave a server out for a while, unless too large a part of its role is; whether that was done.
+    def eject(self, worker: Worker, peers: Sequence[Worker], now: float) -> bool:
+        """Eject a server unless too many of its role are ejected. Returns whether it was ejected.
 
-        `peers` = the running servers of its role, itself among them.
+        `peers` are the running servers of its role, including itself.
         """
-        ejected = sum(now < p.ejected for p in peers)
-        if now < w.ejected or ejected + 1 > EJECT_MAX_SHARE * len(peers):
+        ejected = sum(now < peer.ejected for peer in peers)
+        if now < worker.ejected or ejected + 1 > EJECTED_SHARE_MAX * len(peers):
             return False
-        w.ejected = now + min(EJECT_MAX, EJECT_BASE * 2**w.ejections)
-        w.ejections, w.trial, w.errors = w.ejections + 1, True, 0.0
-        w.known_usable = False
+        worker.ejected = now + min(EJECTION_MAX_S, EJECTION_BASE_S * 2**worker.ejections)
+        worker.ejections, worker.trial, worker.errors = worker.ejections + 1, True, 0.0
+        worker.known_usable = False
         return True
 
-    def usable(self, w: Worker, now: float) -> bool:
-        """Whether it may be sent to: it runs and is not ejected; after an ejection, one attempt at a time."""
-        if w.info.state is not ServerState.RUNNING or now < w.ejected:
+    def usable(self, worker: Worker, now: float) -> bool:
+        """Whether the server runs and is not ejected; after an ejection it gets one attempt at a time."""
+        if worker.info.state is not ServerState.RUNNING or now < worker.ejected:
             return False
-        busy = w.reads + w.streams > 0
-        return not (w.trial and (busy or (self._may_probe and w.life < w.ejected)))
+        busy = worker.reads + worker.streams > 0
+        return not (worker.trial and (busy or (self._may_probe and worker.life < worker.ejected)))
 
-    def is_suspect(self, w: Worker, now: float) -> bool:
-        """It failed us or another router lately, or is on trial after that.
+    def is_suspect(self, worker: Worker, now: float) -> bool:
+        """Whether the server failed recently, here or at another router, or is on trial after an ejection.
 
-        Guards turns that cannot be repeated against servers that fail all they get; others find out how these
-        do. Reads have no effect, so readers are never in doubt.
+        Requests that must not be repeated avoid suspect servers; requests of other classes find out whether
+        these still fail. Readers are never suspect, because reads have no effect and may be repeated.
         """
-        failing = (w.trial or w.errors > DOUBT_RATE) and now - w.failed_at < DOUBT_TIME
-        return w.role is not Role.READER and (failing or self._gossip.is_suspect(w.info.id, now))
+        failing = (
+            worker.trial or worker.errors > SUSPECT_ERROR_RATE
+        ) and now - worker.failed_at < SUSPECT_FOR_S
+        return worker.role is not Role.READER and (failing or self._gossip.is_suspect(worker.info.id, now))
 
     def without_suspects(self, workers: Sequence[Worker], now: float) -> list[Worker]:
-        """Those that are not in doubt."""
-        doubted = self._gossip.suspects(now)
-        if not doubted:
-            return [w for w in workers if not ((w.errors or w.trial) and self.is_suspect(w, now))]
+        """The servers that are not suspect."""
+        suspects = self._gossip.suspects(now)
+        # The conditions on errors and trial save a call for each server that never failed.
+        if not suspects:
+            return [
+                worker
+                for worker in workers
+                if not ((worker.errors or worker.trial) and self.is_suspect(worker, now))
+            ]
         return [
-            w
-            for w in workers
-            if not ((w.errors or w.trial or w.info.id in doubted) and self.is_suspect(w, now))
+            worker
+            for worker in workers
+            if not (
+                (worker.errors or worker.trial or worker.info.id in suspects) and self.is_suspect(worker, now)
+            )
         ]
 
-    def is_silent(self, w: Worker, now: float) -> bool:
-        """Whether something waits there for long, and it has given no sign of life meanwhile."""
-        return w.longest_wait(now) > SILENT_AFTER and self._quiet(w, now)
+    def is_silent(self, worker: Worker, now: float) -> bool:
+        """Whether a request has waited at the server for long without any sign of life from the server."""
+        return worker.longest_wait(now) > SILENT_AFTER_S and self._no_sign_of_life(worker, now)
 
-    def exceeds_silence_limit(self, w: Worker, now: float) -> bool:
-        """Whether something waits there for so long that answers to probes no longer count."""
-        return w.longest_wait(now) > SILENT_TIMES * (SILENT_AFTER + self._waits.of_server(w, now))
+    def exceeds_silence_limit(self, worker: Worker, now: float) -> bool:
+        """Whether a request has waited at the server for so long that answers to probes no longer count."""
+        return worker.longest_wait(now) > SILENCE_LIMIT_FACTOR * (
+            SILENT_AFTER_S + self._waits.of_server(worker, now)
+        )
 
-    def _quiet(self, w: Worker, now: float) -> bool:
-        """No sign of life for longer than waits explain: lost probes alone would eject the busy ones."""
-        read = w.pending[0].fresh_tokens * self._paces.by_role[w.role] if w.pending else 0.0
-        return now - w.life > SILENT_AFTER + SILENT_WAITS * (self._waits.of_server(w, now) + read)
+    def _no_sign_of_life(self, worker: Worker, now: float) -> bool:
+        """Whether the last sign of life is older than the server's queue and the pending read explain.
+
+        Lost probes alone would eject busy servers."""
+        read = worker.pending[0].fresh_tokens * self._paces.by_role[worker.role] if worker.pending else 0.0
+        return now - worker.life > SILENT_AFTER_S + SILENT_WAIT_FACTOR * (
+            self._waits.of_server(worker, now) + read
+        )
