--- a/hopshed/slow_start.py
+++ b/hopshed/slow_start.py
@@ -1,4 +1,8 @@
-"""Slow start: what a server that has just started can take, and one router's part of it. No clock, no I/O."""
+"""Slow start: the capacity of a server that has just started, and how much of it this router may use.
+
+A server that starts has a part of its capacity, which grows to all of it. Each router limits what it sends to
+such a server with a token bucket, filled with its part of what the server can take. No clock, no I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,109 +14,132 @@
 from .state import Worker
 
 T = TypeVar("T")
-SAFETY = 0.6  # part of the budget in use
-FLOOR = 0.3  # sends a second to each server where no peer is warm
-LEAST = 1.0  # sends that the bucket holds at the least
-FEW_AT_ONCE = 0.5  # sends that a server bears at once, whatever its capacity
-EVEN_TIMES = 1.25  # the most that a warm server counts for, against an even share of all
-# Servers of a role from which on they are looked at anew after a while only, and that while in s for each
-# server: some 100 times what a look costs, and little of the time in which the rate moves.
-MANY, RATE_KEPT = 256, 5e-5
-WORK_RATE_TIME_CONSTANT_S = 5.0  # s; time constant of the measured rate of work sent to a server
+BUDGET_SHARE = 0.6  # part of the permitted rate that is used
+MIN_WARM_RATE_PER_S = 0.3  # sends of all routers to each server, assumed where no peer is warm
+MIN_BUCKET_SIZE = 1.0  # sends
+FIXED_BURST = 0.5  # sends that a server can take at once, whatever its capacity
+MAX_EVEN_SHARES = 1.25  # largest rate of a warm server, as a multiple of an even share of all sends
+# The figures of a role with at least MANY_SERVERS servers are recomputed only after a time in proportion to
+# their number. That time is about 100 times what computing them takes, and short against the time in which
+# the rate changes.
+MANY_SERVERS = 256
+CACHE_TIME_PER_SERVER_S = 5e-5
+WORK_RATE_TIME_CONSTANT_S = 5.0  # time constant of the rate of work sent to a server
 
 
-class _Look(NamedTuple, Generic[T]):
-    """What a look at all servers of a role has shown, and until when it stands (the loop's clock, in s)."""
+class _CachedFigure(NamedTuple, Generic[T]):
+    """A figure computed over all servers of a role."""
 
-    shown: T
-    until: float
-    many: bool  # of so many servers that sends and changes of the list leave it as it is
+    value: T
+    valid_until: float  # time on the loop's clock, in seconds
+    many: bool  # whether the role has so many servers that sends and list changes do not invalidate it
 
 
 class SlowStart:
+    """Limits what this router sends to servers in slow start."""
+
     def __init__(self, settings: Settings) -> None:
-        self.s = settings
-        self.warm_rates_before_loss: dict[
-            Role, float
-        ] = {}  # what a warm server took from us a second before a loss of all
-        self._rates: dict[Role, _Look[float]] = {}  # the warm rate, in sends a second
-        self._untried: dict[Role, _Look[bool]] = {}  # whether there are warm servers, and none was sent to
+        self._settings = settings
+        # Sends per second that a warm server took from this router before all servers of its role were lost.
+        self.warm_rates_before_loss: dict[Role, float] = {}
+        self._warm_rates: dict[Role, _CachedFigure[float]] = {}  # sends per second
+        self._unused: dict[Role, _CachedFigure[bool]] = {}  # see _none_sent_to_warm
 
     def invalidate(self) -> None:
-        """A send or a list has changed what the figures over all servers of a role are made of."""
-        self._rates = {role: look for role, look in self._rates.items() if look.many}
-        self._untried = {role: look for role, look in self._untried.items() if look.many}
+        """Drop cached figures because a send or a list has changed what they are computed from."""
+        self._warm_rates = {role: figure for role, figure in self._warm_rates.items() if figure.many}
+        self._unused = {role: figure for role, figure in self._unused.items() if figure.many}
 
-    def is_cold(self, w: Worker, now: float) -> bool:
-        return self._age(w, now) < self.s.cold_time
+    def is_cold(self, worker: Worker, now: float) -> bool:
+        """Whether the server is in slow start."""
+        return self._age(worker, now) < self._settings.cold_time
 
-    def _age(self, w: Worker, now: float) -> float:
-        return now - (w.info.started if w.info.started is not None else w.listed)
+    def _age(self, worker: Worker, now: float) -> float:
+        """Seconds since the server started, or since it was listed where no start is known."""
+        return now - (worker.info.started if worker.info.started is not None else worker.listed)
 
-    def capacity_share(self, w: Worker, now: float) -> float:
-        """The least part of its capacity that a server has by now; it grows evenly until it is warm."""
-        warm = min(1.0, self._age(w, now) / (self.s.cold_time or 1.0))
-        return self.s.cold_from + (1 - self.s.cold_from) * warm
+    def capacity_share(self, worker: Worker, now: float) -> float:
+        """The part of its capacity that the server has at least; it grows linearly until it is warm."""
+        warm = min(1.0, self._age(worker, now) / (self._settings.cold_time or 1.0))
+        return self._settings.cold_from + (1 - self._settings.cold_from) * warm
 
-    def warm_rate(self, w: Worker, peers: Sequence[Worker], now: float) -> float:
-        """Sends a second that a warm server of its role takes from us, as its peers show.
+    def warm_rate(self, worker: Worker, peers: Sequence[Worker], now: float) -> float:
+        """Sends per second that a warm server of the role takes from this router, measured at its peers.
 
-        It counts for so many even shares of all sends at most: where few are warm, they are sent everything.
+        It is at most MAX_EVEN_SHARES times an even share of all sends: where only few servers are warm, they
+        are sent everything, which may be more than they can take.
         """
-        return self._shown(self._rates, self._measured_rate, w.role, peers, now)
+        return self._cached(self._warm_rates, self._measured_rate, worker.role, peers, now)
 
-    def _shown(
+    def _cached(
         self,
-        looks: dict[Role, _Look[T]],
-        measure: Callable[[Role, Sequence[Worker], float], T],
+        figures: dict[Role, _CachedFigure[T]],
+        compute: Callable[[Role, Sequence[Worker], float], T],
         role: Role,
         peers: Sequence[Worker],
         now: float,
     ) -> T:
-        """Look at all servers of a role, or go by the last look where that still stands."""
-        look = looks.get(role)
-        if look is None or now > look.until:
-            many = len(peers) >= MANY
-            until = now + RATE_KEPT * len(peers) if many else now
-            look = looks[role] = _Look(measure(role, peers, now), until, many)
-        return look.shown
+        """The figure for a role, computed anew where the cached one is no longer valid."""
+        figure = figures.get(role)
+        if figure is None or now > figure.valid_until:
+            many = len(peers) >= MANY_SERVERS
+            until = now + CACHE_TIME_PER_SERVER_S * len(peers) if many else now
+            figure = figures[role] = _CachedFigure(compute(role, peers, now), until, many)
+        return figure.value
 
     def _measured_rate(self, role: Role, peers: Sequence[Worker], now: float) -> float:
-        rates = [(p.work_rate.decayed(now, WORK_RATE_TIME_CONSTANT_S), self.is_cold(p, now)) for p in peers]
+        rates = [
+            (peer.work_rate.decayed(now, WORK_RATE_TIME_CONSTANT_S), self.is_cold(peer, now))
+            for peer in peers
+        ]
         warm = [rate for rate, cold in rates if not cold]
         if not warm:
-            taken = FLOOR / self.s.instances
+            measured = MIN_WARM_RATE_PER_S / self._settings.instances
         else:
             even = sum(rate for rate, _ in rates) / len(rates)
-            taken = min(sum(warm) / len(warm), EVEN_TIMES * even)
-        return max(taken, self.warm_rates_before_loss.get(role, 0.0))  # where all are cold, no peer tells
+            measured = min(sum(warm) / len(warm), MAX_EVEN_SHARES * even)
+        # Where all servers are cold, nothing is measured.
+        return max(measured, self.warm_rates_before_loss.get(role, 0.0))
 
-    def start(self, w: Worker, peers: Sequence[Worker], draw: float, now: float) -> None:
-        """Set the bucket of a server that has just started; `draw` is uniform from 0 to 1.
+    def start(self, worker: Worker, peers: Sequence[Worker], draw: float, now: float) -> None:
+        """Set the token bucket of a server that has just started; `draw` is uniform from 0 to 1.
 
-        A start by chance lets in the routers whose turn it is, so that the sum over routers holds: as many at
-        once as there is room for by chance. A router that has sent nothing to the role yet, and finds warm
-        servers there, uses this one as far as it is warm: it draws no more than its part of what comes.
+        The random level lets only some routers send at once, on average `at_once` of all: the server has room
+        for about the random variation, a square root, of the sends that it can take in the window. A router
+        that has sent nothing to the role yet and finds warm servers there uses this one to the extent that it
+        is warm, as it sends there no more than its part of the requests.
         """
-        able = self.capacity_share(w, now)
-        if self._shown(self._untried, self._none_sent_to_warm, w.role, peers, now):
-            w.cold_level = draw + able
+        share = self.capacity_share(worker, now)
+        if self._cached(self._unused, self._none_sent_to_warm, worker.role, peers, now):
+            worker.cold_level = draw + share
             return
-        budget = self.s.fall_multiple * able * self.warm_rate(w, peers, now) * self.s.fall_window
-        at_once = (math.sqrt(budget * self.s.instances) + FEW_AT_ONCE) / 2  # of all routers together
-        w.cold_level = draw + min(able, at_once / self.s.instances)
+        budget = (
+            self._settings.fall_multiple
+            * share
+            * self.warm_rate(worker, peers, now)
+            * self._settings.fall_window
+        )
+        at_once = (math.sqrt(budget * self._settings.instances) + FIXED_BURST) / 2  # sends of all routers
+        worker.cold_level = draw + min(share, at_once / self._settings.instances)
 
     def _none_sent_to_warm(self, role: Role, peers: Sequence[Worker], now: float) -> bool:
         """Whether there are warm peers, and this router has sent nothing to any peer."""
-        return any(not self.is_cold(p, now) for p in peers) and not any(p.work_rate.value for p in peers)
+        return any(not self.is_cold(peer, now) for peer in peers) and not any(
+            peer.work_rate.value for peer in peers
+        )
 
-    def has_budget(self, w: Worker, peers: Sequence[Worker], now: float) -> bool:
-        """Whether a cold server may get one more send from us.
+    def has_budget(self, worker: Worker, peers: Sequence[Worker], now: float) -> bool:
+        """Whether this router may send one more request to a cold server.
 
-        A token bucket, filled with our part of what it can take. A send that weighs more than one is paid for
-        afterwards.
+        Fills the token bucket with this router's part of what the server can take. A request of more than one
+        unit of work may take the level below zero.
         """
-        rate = SAFETY * self.s.fall_multiple * self.capacity_share(w, now) * self.warm_rate(w, peers, now)
-        most = max(rate * self.s.fall_window / 2, LEAST)
-        w.cold_level, w.cold_at = min(w.cold_level + rate * (now - w.cold_at), most), now
-        return w.cold_level >= 1.0
+        rate = (
+            BUDGET_SHARE
+            * self._settings.fall_multiple
+            * self.capacity_share(worker, now)
+            * self.warm_rate(worker, peers, now)
+        )
+        most = max(rate * self._settings.fall_window / 2, MIN_BUCKET_SIZE)
+        worker.cold_level, worker.cold_at = min(worker.cold_level + rate * (now - worker.cold_at), most), now
+        return worker.cold_level >= 1.0
