--- a/hopshed/handover.py
+++ b/hopshed/handover.py
@@ -1,7 +1,8 @@
-"""What one controller has learnt, for the one that takes its place in the same instance. No I/O.
+"""Hands what one controller has learned to another one of the same router, at a restart of the process.
 
-Requests are not handed over: each ends where it was taken. Times are those of the controllers' clock, which
-both must share. Of a cold server's budget each of the two keeps half, for both may still send to it.
+Requests are not handed over: each ends at the controller that took it. Times are those of the controllers'
+clock, which both must share. After a hot restart both may still send to a cold server, so each keeps half of
+its budget. No I/O.
 """
 
 from __future__ import annotations
@@ -13,133 +14,163 @@
 from .interface import Role
 from .state import Session
 
-SESSIONS_MOST, KEPT_MOST = 20_000, 20_000  # the latest; each is some 60 bytes
-REMINDED = ("wait", "wait_at", "floor", "limit", "hit", "drag")  # of a server, after this one's own restart
+# The most recent entries are kept; each has about 60 bytes.
+MAX_SESSIONS = 20_000
+MAX_PREFIX_USES = 20_000
+# Fields of LearnedServer that a controller takes over when it is already serving after a restart of its own.
+MERGED_FIELDS = ("wait", "wait_at", "floor", "limit", "hit", "drag")
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedServer:
-    """Of one server, under the names of `state.Worker`."""
-
-    listed: float
-    wait: float
-    wait_at: float
-    floor: float
-    limit: float | None
-    hit: float
-    drag: float
-    errors: float
-    ejected: float
-    ejections: int
-    trial: bool
-    failed_at: float
-    life: float
-    cold_level: float
-    cold_at: float
+    """What was learned about one server. The fields have the names of attributes of `state.Worker`."""
+
+    listed: float  # time at which the server was first listed
+    wait: float  # seconds that requests wait there
+    wait_at: float  # time of that estimate
+    floor: float  # least time to a first token, in seconds
+    limit: float | None  # adaptive limit on streams
+    hit: float  # part of the tokens expected in the server's cache that were found there
+    drag: float  # time of its streams against the mean of their class over all servers
+    errors: float  # error rate, 0 to 1
+    ejected: float  # time at which the latest ejection ends
+    ejections: int  # in a row
+    trial: bool  # whether it has to prove itself after an ejection
+    failed_at: float  # time of the latest failure
+    life: float  # time of the latest sign of life
+    cold_level: float  # token bucket of slow start
+    cold_at: float  # time of that level
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
+    """What a controller has learned, as it is encoded for its successor and in snapshots."""
+
     servers: dict[int, LearnedServer]
-    work: dict[int, Estimate]  # server -> rate of work sent there
-    sessions: list[tuple[str, Session]]  # in the order of last use, as the next two
-    kept: list[tuple[int, str, Estimate]]  # server, beginning
-    seen: list[tuple[str, Estimate]]  # beginning
-    waits: dict[Role, Estimate]
-    pace: dict[Role, float]
-    paced: int
-    means: tuple[float, float, float, float]  # prompt, fresh, context, gap between arrivals
-    by_class: list[tuple[float, float]]  # stream time, tokens
-    by_tenant: list[tuple[float, float]]  # part that leaves, its age
-    quotas: list[tuple[float, float]]  # level, at
-    words: tuple[dict[int, float], dict[int, float], dict[int, float]]  # failing heard, said; waits
-
-
-def split_state(c: Controller) -> LearnedState:
-    """What a controller knows, for one beside it; half of each cold server's budget goes with it."""
-    for worker in c.workers.values():
+    work: dict[int, Estimate]  # by server, the rate of work sent there
+    sessions: list[tuple[str, Session]]  # in the order of last use, as are `kept` and `seen`
+    kept: list[tuple[int, str, Estimate]]  # server, tag of a prefix in its cache, last use
+    seen: list[tuple[str, Estimate]]  # prefix, decayed number of requests with it; "" counts all
+    waits: dict[Role, Estimate]  # seconds that requests wait at servers of a role
+    pace: dict[Role, float]  # seconds that servers of a role need to read a token
+    paced: int  # number of reads from which `pace` was learned
+    means: tuple[
+        float, float, float, float
+    ]  # tokens of a prompt, those not cached, of a request; arrival gap, s
+    by_class: list[tuple[float, float]]  # mean time of a stream in seconds, mean tokens of a prompt
+    by_tenant: list[
+        tuple[float, float]
+    ]  # part of the clients that leave, mean age when they leave, in seconds
+    quotas: list[tuple[float, float]]  # by tenant, level of the token bucket and time of that level
+    words: tuple[dict[int, float], dict[int, float], dict[int, float]]  # see Gossip.export
+
+
+def split_state(controller: Controller) -> LearnedState:
+    """What a controller has learned, for a second one beside it. Halves the budget of each cold server."""
+    for worker in controller.workers.values():
         if worker.cold_level > 0:
             worker.cold_level /= 2
-    return export_state(c)
+    return export_state(controller)
 
 
-def export_state(c: Controller) -> LearnedState:
-    """What a controller knows; it goes on with all of it."""
+def export_state(controller: Controller) -> LearnedState:
+    """What a controller has learned; the controller is not changed."""
     names = [field.name for field in fields(LearnedServer)]
     return LearnedState(
-        servers={n: LearnedServer(*(getattr(w, name) for name in names)) for n, w in c.workers.items()},
-        work={n: w.work_rate for n, w in c.workers.items()},
-        sessions=list(c.sessions.items())[-SESSIONS_MOST:],
-        kept=[(n, key, used) for (n, key), used in list(c.prefix_cache.uses.items())[-KEPT_MOST:]],
-        seen=list(c.popularity.seen.items()),
-        waits=c.waits.by_role,
-        pace=c.paces.by_role,
-        paced=c.paces.samples,
+        servers={
+            number: LearnedServer(*(getattr(worker, name) for name in names))
+            for number, worker in controller.workers.items()
+        },
+        work={number: worker.work_rate for number, worker in controller.workers.items()},
+        sessions=list(controller.sessions.items())[-MAX_SESSIONS:],
+        kept=[
+            (number, tag, use)
+            for (number, tag), use in list(controller.prefix_cache.uses.items())[-MAX_PREFIX_USES:]
+        ],
+        seen=list(controller.popularity.seen.items()),
+        waits=controller.waits.by_role,
+        pace=controller.paces.by_role,
+        paced=controller.paces.samples,
         means=(
-            c.mean_prompt_tokens,
-            c.mean_fresh_tokens,
-            c.room.mean_request_tokens,
-            c.waits.mean_arrival_gap,
+            controller.mean_prompt_tokens,
+            controller.mean_fresh_tokens,
+            controller.room.mean_request_tokens,
+            controller.waits.mean_arrival_gap,
         ),
-        by_class=list(zip(c.mean_stream_time, c.mean_class_tokens, strict=True)),
-        by_tenant=list(zip(c.leaving_share, c.mean_leaving_age, strict=True)),
-        quotas=[(bucket.level, bucket.at) for bucket in c.quotas.buckets],
-        words=c.gossip.export(),
+        by_class=list(zip(controller.mean_stream_time, controller.mean_class_tokens, strict=True)),
+        by_tenant=list(zip(controller.leaving_share, controller.mean_leaving_age, strict=True)),
+        quotas=[(bucket.level, bucket.at) for bucket in controller.quotas.buckets],
+        words=controller.gossip.export(),
     )
 
 
-def import_state(c: Controller, known: LearnedState, now: float) -> None:
-    """Let a controller that has heard its list, and nothing else, go on from another's knowledge.
+def import_state(controller: Controller, state: LearnedState, now: float) -> None:
+    """Initialize a controller from a learned state once it has its list of servers, before any other event.
 
-    Raises ValueError where the two were made for other settings; then nothing has changed."""
-    if len(known.by_class) != len(c.mean_stream_time) or len(known.by_tenant) != len(c.leaving_share):
-        raise ValueError("other classes or tenants")
-    for number, learnt in known.servers.items():
-        if (worker := c.workers.get(number)) is not None:
+    Raises ValueError where the state was learned with other settings; the controller is not changed then."""
+    if len(state.by_class) != len(controller.mean_stream_time) or len(state.by_tenant) != len(
+        controller.leaving_share
+    ):
+        raise ValueError("the learned state is for other classes or tenants")
+    for number, learned in state.servers.items():
+        if (worker := controller.workers.get(number)) is not None:
             for field in fields(LearnedServer):
-                setattr(worker, field.name, getattr(learnt, field.name))
-            worker.work_rate = known.work.get(number, Estimate())
+                setattr(worker, field.name, getattr(learned, field.name))
+            worker.work_rate = state.work.get(number, Estimate())
             worker.known_usable = False
-    c.slow_start.invalidate()
-    c.sessions, c.popularity.seen = dict(known.sessions), dict(known.seen)
-    c.prefix_cache.uses = {(number, key): used for number, key, used in known.kept}
-    c.waits.by_role, c.waits.last_arrival = c.waits.by_role | known.waits, now
-    c.paces.restore(known.pace, known.paced)
-    c.mean_prompt_tokens, c.mean_fresh_tokens, c.room.mean_request_tokens, c.waits.mean_arrival_gap = (
-        known.means
+    controller.slow_start.invalidate()
+    controller.sessions, controller.popularity.seen = dict(state.sessions), dict(state.seen)
+    controller.prefix_cache.uses = {(number, tag): use for number, tag, use in state.kept}
+    controller.waits.by_role = controller.waits.by_role | state.waits
+    controller.waits.last_arrival = now
+    controller.paces.restore(state.pace, state.paced)
+    (
+        controller.mean_prompt_tokens,
+        controller.mean_fresh_tokens,
+        controller.room.mean_request_tokens,
+        controller.waits.mean_arrival_gap,
+    ) = state.means
+    controller.mean_stream_time, controller.mean_class_tokens = (
+        list(column) for column in zip(*state.by_class, strict=True)
+    )
+    controller.leaving_share, controller.mean_leaving_age = (
+        list(column) for column in zip(*state.by_tenant, strict=True)
     )
-    c.mean_stream_time, c.mean_class_tokens = (list(part) for part in zip(*known.by_class, strict=True))
-    c.leaving_share, c.mean_leaving_age = (list(part) for part in zip(*known.by_tenant, strict=True))
-    for bucket, told in zip(c.quotas.buckets, known.quotas, strict=False):
-        bucket.level, bucket.at = told
-    c.gossip.restore(known.words)
+    for bucket, level in zip(controller.quotas.buckets, state.quotas, strict=False):
+        bucket.level, bucket.at = level
+    controller.gossip.restore(state.words)
 
 
-def merge_state(c: Controller, known: LearnedState) -> None:
-    """Let a controller that serves already know what an earlier one knew; what it has learnt itself stands.
+def merge_state(controller: Controller, state: LearnedState) -> None:
+    """Add an earlier controller's learned state to one that serves already; what it has learned itself stays.
 
-    Of servers only those count that it has not met yet."""
-    for number, learnt in known.servers.items():
-        worker = c.workers.get(number)
+    Only servers to which the controller has not yet sent anything are changed."""
+    for number, learned in state.servers.items():
+        worker = controller.workers.get(number)
         if worker is not None and not worker.work_rate.value:
-            for name in REMINDED:
-                setattr(worker, name, getattr(learnt, name))
+            for name in MERGED_FIELDS:
+                setattr(worker, name, getattr(learned, name))
             worker.known_usable = False
-    c.slow_start.invalidate()
-    c.sessions = dict(known.sessions) | c.sessions
-    c.prefix_cache.uses = {(number, key): used for number, key, used in known.kept} | c.prefix_cache.uses
-    c.popularity.seen = dict(known.seen) | c.popularity.seen
-    mine = {role: pace for role, pace in c.paces.by_role.items() if pace}
-    c.paces.restore(known.pace | mine, c.paces.samples or known.paced)
-    if len(known.by_class) == len(c.mean_stream_time):
-        times, tokens = zip(*known.by_class, strict=True)
-        c.mean_stream_time = [mine or theirs for mine, theirs in zip(c.mean_stream_time, times, strict=True)]
-        c.mean_class_tokens = [
-            mine or theirs for mine, theirs in zip(c.mean_class_tokens, tokens, strict=True)
+    controller.slow_start.invalidate()
+    controller.sessions = dict(state.sessions) | controller.sessions
+    controller.prefix_cache.uses = {
+        (number, tag): use for number, tag, use in state.kept
+    } | controller.prefix_cache.uses
+    controller.popularity.seen = dict(state.seen) | controller.popularity.seen
+    own_paces = {role: pace for role, pace in controller.paces.by_role.items() if pace}
+    controller.paces.restore(state.pace | own_paces, controller.paces.samples or state.paced)
+    if len(state.by_class) == len(controller.mean_stream_time):
+        times, tokens = zip(*state.by_class, strict=True)
+        controller.mean_stream_time = [
+            own or other for own, other in zip(controller.mean_stream_time, times, strict=True)
+        ]
+        controller.mean_class_tokens = [
+            own or other for own, other in zip(controller.mean_class_tokens, tokens, strict=True)
         ]
-    prompt, fresh, context, _ = known.means
-    c.mean_prompt_tokens, c.mean_fresh_tokens = c.mean_prompt_tokens or prompt, c.mean_fresh_tokens or fresh
-    c.room.mean_request_tokens = c.room.mean_request_tokens or context
-    for bucket, told in zip(c.quotas.buckets, known.quotas, strict=False):
-        if bucket.at == 0.0:  # untouched
-            bucket.level, bucket.at = told
+    prompt, fresh, request, _ = state.means
+    controller.mean_prompt_tokens = controller.mean_prompt_tokens or prompt
+    controller.mean_fresh_tokens = controller.mean_fresh_tokens or fresh
+    controller.room.mean_request_tokens = controller.room.mean_request_tokens or request
+    for bucket, level in zip(controller.quotas.buckets, state.quotas, strict=False):
+        if bucket.at == 0.0:  # not used yet
+            bucket.level, bucket.at = level
--- a/hopshed/popularity.py
+++ b/hopshed/popularity.py
@@ -1,29 +1,37 @@
-"""How often shared beginnings come, and how many homes one asks for. No clock, no I/O."""
+"""How often prefixes arrive, and how many readers should have each in their cache. No clock, no I/O."""
 
 from __future__ import annotations
 
 from .estimate import Estimate
 from .state import drop_unused
 
-FADES, DROPPED = 60.0, 300.0  # s; time constant of what came; until a beginning that comes no more is dropped
-DOUBT = 10.0  # turns that prove little
+TIME_CONSTANT_S = 60.0  # of the count of arrivals
+DROPPED = 300.0  # seconds without an arrival after which a prefix is dropped
+DOUBT = 10.0  # requests added to the total, so that few requests do not prove a prefix popular
 
 
 class Popularity:
+    """Decaying counts of the prefixes of this router's requests."""
+
     def __init__(self) -> None:
-        self.seen: dict[str, Estimate] = {}  # in the order of last use; "" counts all
+        self.seen: dict[str, Estimate] = {}  # by prefix, in the order of last use; "" counts all
 
     def prefix_arrived(self, prefix: str | None, now: float) -> None:
+        """A request with this prefix arrived; one without a prefix does not count."""
         for key in ("", prefix) if prefix else ():
             seen = self.seen[key] = self.seen.pop(key, Estimate())
-            seen.add(1.0, now, FADES)
+            seen.add(1.0, now, TIME_CONSTANT_S)
 
     def home_count(self, prefix: str | None, count: int, now: float) -> int:
-        """A beginning's homes among so many servers, by its part of our turns, so that none fills alone."""
+        """How many of `count` servers should be homes of a prefix, at least 1.
+
+        The number follows the prefix's part of all requests, so that no server is filled by one prefix alone.
+        """
         if not (seen := self.seen.get(prefix or "")):
             return 1
-        total = self.seen[""].decayed(now, FADES)
-        return max(1, round((seen.decayed(now, FADES) - 1) / (total + DOUBT) * count))
+        total = self.seen[""].decayed(now, TIME_CONSTANT_S)
+        return max(1, round((seen.decayed(now, TIME_CONSTANT_S) - 1) / (total + DOUBT) * count))
 
     def expire(self, now: float) -> None:
+        """Drop prefixes that have not arrived for long."""
         drop_unused(self.seen, now - DROPPED)
--- a/hopshed/topology.py
+++ b/hopshed/topology.py
@@ -1,4 +1,7 @@
-"""How cells and zones are mixed of readers and writers: from the list alone, so all routers' parts add up."""
+"""The balance of readers and writers in each cell and zone.
+
+It follows from the list of servers alone, so that the decisions of all routers add up. No clock, no I/O.
+"""
 
 from __future__ import annotations
 
@@ -8,112 +11,119 @@
 from .interface import Role, ServerState
 from .state import Worker
 
-LEAN_LEAST, LEAN_MOST = 0.8, 1.2  # weight as a home: a cell's part of writers over that of readers
+# Bounds of the weight of a cell's readers as homes of prefixes and sessions, which is the cell's balance.
+LEAN_LEAST = 0.8
+LEAN_MOST = 1.2
 
 
-class _Places:
-    """The running servers of each role in each cell, or in each zone."""
+class _Locations:
+    """Running servers of each role by location; a location is a cell or a zone."""
 
     def __init__(self) -> None:
         self._counts: dict[int, dict[Role, int]] = {}
 
-    def add(self, place: int, role: Role, count: int) -> None:
-        """So many more servers of a role there; fewer where it is negative."""
-        counts = self._counts.setdefault(place, dict.fromkeys(Role, 0))
+    def add(self, location: int, role: Role, count: int) -> None:
+        """Add servers of a role to a location, or remove them where `count` is negative."""
+        counts = self._counts.setdefault(location, dict.fromkeys(Role, 0))
         counts[role] += count
         if not any(counts.values()):
-            del self._counts[place]
+            del self._counts[location]
 
     def balances(self, running: dict[Role, int]) -> dict[int, float]:
-        """By place, the part of all writers that it has over its part of all readers."""
+        """Each location's share of all writers divided by its share of all readers."""
         all_readers, all_writers = running[Role.READER], running[Role.WRITER]
         balances = {}
-        for place, counts in self._counts.items():
+        for location, counts in self._counts.items():
             readers = counts[Role.READER] * all_writers
             writers = counts[Role.WRITER] * all_readers
-            balances[place] = writers / readers if readers else math.inf
+            balances[location] = writers / readers if readers else math.inf
         return balances
 
 
 class Topology:
-    """The balance of readers and writers by cell and zone, over the running servers of the list."""
+    """Running servers by role, and the balance of each cell and zone.
+
+    A location's balance is its share of all writers divided by its share of all readers, infinite without
+    readers."""
 
     def __init__(self) -> None:
-        self.running = dict.fromkeys(Role, 0)  # servers of each role
-        self._placed: dict[int, tuple[int, int, Role]] = {}  # running server -> cell, zone, role
-        self._in_cells, self._in_zones = _Places(), _Places()
-        self._stale = False  # the balances have to be worked out anew
-        self._cells: dict[int, float] = {}
-        self._zones: dict[int, float] = {}
-        self._writers_cells = set[int]()
-        self._writers_zones = set[int]()
+        self.running = dict.fromkeys(Role, 0)  # number of servers
+        self._location_of: dict[int, tuple[int, int, Role]] = {}  # running server -> cell, zone, role
+        self._by_cell, self._by_zone = _Locations(), _Locations()
+        self._stale = False  # whether the balances have to be computed anew
+        self._cell_balances: dict[int, float] = {}
+        self._zone_balances: dict[int, float] = {}
+        self._writer_heavy_cells = set[int]()
+        self._writer_heavy_zones = set[int]()
 
     def rebuild(self, workers: Iterable[Worker]) -> None:
-        """Take in a whole list."""
-        self._placed, self._in_cells, self._in_zones = {}, _Places(), _Places()
+        """Replace all servers by those of a full list."""
+        self._location_of, self._by_cell, self._by_zone = {}, _Locations(), _Locations()
         self.running = dict.fromkeys(Role, 0)
         self._stale = True
         self.update(workers)
 
     def update(self, workers: Iterable[Worker]) -> None:
-        """Take in changes to a list. The balances are worked out when they are next asked for."""
-        for w in workers:
-            runs = w.info.state is ServerState.RUNNING
-            place = (w.info.cell, w.info.zone, w.role) if runs else None
-            before = self._placed.get(w.info.id)
-            if place == before:
+        """Apply changes to servers. Balances are computed when they are next needed."""
+        for worker in workers:
+            runs = worker.info.state is ServerState.RUNNING
+            location = (worker.info.cell, worker.info.zone, worker.role) if runs else None
+            before = self._location_of.get(worker.info.id)
+            if location == before:
                 continue
             if before is not None:
-                del self._placed[w.info.id]
+                del self._location_of[worker.info.id]
                 self._count(before, -1)
-            if place is not None:
-                self._placed[w.info.id] = place
-                self._count(place, 1)
+            if location is not None:
+                self._location_of[worker.info.id] = location
+                self._count(location, 1)
             self._stale = True
 
-    def _count(self, place: tuple[int, int, Role], count: int) -> None:
-        cell, zone, role = place
+    def _count(self, location: tuple[int, int, Role], count: int) -> None:
+        cell, zone, role = location
         self.running[role] += count
-        self._in_cells.add(cell, role, count)
-        self._in_zones.add(zone, role, count)
+        self._by_cell.add(cell, role, count)
+        self._by_zone.add(zone, role, count)
 
     @property
     def writer_heavy_cells(self) -> set[int]:
-        """The cells that have a larger part of all writers than of all readers."""
-        self._balance()
-        return self._writers_cells
+        """The cells with a larger share of all writers than of all readers."""
+        self._compute_balances()
+        return self._writer_heavy_cells
 
     @property
     def writer_heavy_zones(self) -> set[int]:
-        """The same of zones."""
-        self._balance()
-        return self._writers_zones
+        """The zones with a larger share of all writers than of all readers."""
+        self._compute_balances()
+        return self._writer_heavy_zones
 
-    def cell_balance(self, w: Worker) -> float:
-        """The part of all writers that w's cell has over its part of all readers."""
-        self._balance()
-        return self._cells.get(w.info.cell, math.inf)
+    def cell_balance(self, worker: Worker) -> float:
+        """The balance of the server's cell."""
+        self._compute_balances()
+        return self._cell_balances.get(worker.info.cell, math.inf)
 
-    def zone_balance(self, w: Worker) -> float:
-        """The same of w's zone."""
-        self._balance()
-        return self._zones.get(w.info.zone, math.inf)
+    def zone_balance(self, worker: Worker) -> float:
+        """The balance of the server's zone."""
+        self._compute_balances()
+        return self._zone_balances.get(worker.info.zone, math.inf)
 
-    def home_weight(self, w: Worker) -> float:
-        """Its weight as a home: reads go where writers are near."""
-        return self.home_weights((w,))[w.info.id]
+    def home_weight(self, worker: Worker) -> float:
+        """The server's weight as a home of prefixes and sessions; higher where writers are near."""
+        return self.home_weights((worker,))[worker.info.id]
 
     def home_weights(self, workers: Iterable[Worker]) -> dict[int, float]:
-        """The weights of many of them, by number."""
-        self._balance()
-        lean = {cell: min(LEAN_MOST, max(LEAN_LEAST, part)) for cell, part in self._cells.items()}
-        return {w.info.id: lean.get(w.info.cell, LEAN_MOST) for w in workers}
-
-    def _balance(self) -> None:
+        """`home_weight` of each server, by its number."""
+        self._compute_balances()
+        weights = {
+            cell: min(LEAN_MOST, max(LEAN_LEAST, balance)) for cell, balance in self._cell_balances.items()
+        }
+        return {worker.info.id: weights.get(worker.info.cell, LEAN_MOST) for worker in workers}
+
+    def _compute_balances(self) -> None:
         if not self._stale:
             return
         self._stale = False
-        self._cells = self._in_cells.balances(self.running)
-        self._zones = self._in_zones.balances(self.running)
-        self._writers_cells = {cell for cell, balance in self._cells.items() if balance > 1}
-        self._writers_zones = {zone for zone, balance in self._zones.items() if balance > 1}
+        self._cell_balances = self._by_cell.balances(self.running)
+        self._zone_balances = self._by_zone.balances(self.running)
+        self._writer_heavy_cells = {cell for cell, balance in self._cell_balances.items() if balance > 1}
+        self._writer_heavy_zones = {zone for zone, balance in self._zone_balances.items() if balance > 1}
--- a/hopshed/zone_reachability.py
+++ b/hopshed/zone_reachability.py
@@ -1,40 +1,43 @@
 """Zones that this router cannot reach. No clock, no I/O.
 
-When a zone is cut off, nothing is said: each new connection to it costs the time after which it is given up,
-and each server there is found out by itself, twice, while requests run out of time and attempts. Two servers
-of one zone that stay silent, and no sign of life from any there since, are taken for the zone's; a later
-attempt finds out whether it is back. It hurts where single machines of a healthy zone are lost and this
-router hears of the others there too seldom; it then goes without them for a moment.
+When the network to a zone is cut off, each connection attempt to it costs its time-out, and each of its
+servers is ejected only after two such attempts, while requests run out of time and attempts. Therefore two
+servers of a zone that do not answer, without an answer from any server of the zone since, make the whole zone
+unreachable for a short time; attempts after it find out whether the zone is back.
+
+The drawback: where single machines of a healthy zone are lost and this router rarely hears from the other
+servers there, it does without the zone for that time.
 """
 
 from __future__ import annotations
 
-SILENT = 0.1  # s; a connection that is refused says so sooner
-LEAST = 2  # servers of a zone that stay silent
-AVOIDED_FOR, REMEMBERED = 2.0, 10.0  # s after the last silence; until one counts no more
+MIN_SILENCE_S = 0.1  # a refused connection fails sooner
+MIN_SILENT_SERVERS = 2  # silent servers that make a zone unreachable
+AVOIDED_FOR = 2.0  # seconds after the latest silence for which the zone is avoided
+REMEMBERED_S = 10.0  # time after which a server's silence no longer counts
 
 
 class ZoneReachability:
-    """Servers that stayed silent lately, by zone."""
+    """The servers of each zone that recently did not answer."""
 
     def __init__(self) -> None:
-        self._silent: dict[int, dict[int, float]] = {}  # zone -> server -> when it last stayed silent
+        self._silent: dict[int, dict[int, float]] = {}  # zone -> server -> time of its latest silence
 
     def attempt_unanswered(self, zone: int, server: int, latency: float, now: float) -> None:
-        """An attempt at a server came to nothing after so many s, without a word."""
-        if latency >= SILENT:
-            heard = self._silent.get(zone, {})
-            recent = {n: at for n, at in heard.items() if now - at < REMEMBERED}
+        """An attempt at a server ended after `latency` seconds without any answer."""
+        if latency >= MIN_SILENCE_S:
+            servers = self._silent.get(zone, {})
+            recent = {number: at for number, at in servers.items() if now - at < REMEMBERED_S}
             self._silent[zone] = recent | {server: now}
 
     def server_answered(self, zone: int) -> None:
-        """A server there has answered."""
+        """A server of the zone answered."""
         self._silent.pop(zone, None)
 
     def unreachable(self, now: float) -> set[int]:
-        """The zones to go without, where there are others."""
+        """The zones to avoid, as far as there are servers in others."""
         return {
             zone
             for zone, servers in self._silent.items()
-            if len(servers) >= LEAST and now - max(servers.values()) < AVOIDED_FOR
+            if len(servers) >= MIN_SILENT_SERVERS and now - max(servers.values()) < AVOIDED_FOR
         }
