--- a/hopshed/interface.py
+++ b/hopshed/interface.py
@@ -44,13 +44,13 @@
 
     OK = "ok"  # the answer has been streamed to its end
     READ = "read"  # the prompt has been read; the reader holds the state
-    FAILED = "failed"  # the server answered with an error
-    FULL = "full"  # the server refused the attempt: no room, or no state to fetch
-    TIMED_OUT = "timed_out"
-    UNREACHABLE = "unreachable"  # no connection
-    RESET = "reset"  # the connection broke
-    CANCELED = "canceled"  # by this router
-    NOT_SENT = "not_sent"
+    FAILED = "failed"  # the server answered with an error or not according to the protocol
+    FULL = "full"  # the server refused the attempt before it ran: no room, draining, or no state to fetch
+    TIMED_OUT = "timed_out"  # no answer in time, or the stream stalled
+    UNREACHABLE = "unreachable"  # no connection, or it broke before the whole request was sent
+    RESET = "reset"  # the connection ended before the answer did
+    CANCELED = "canceled"  # by this router, also where the client left
+    NOT_SENT = "not_sent"  # withheld by this router before the request was sent
 
     @property
     def never_ran(self) -> bool:
@@ -71,7 +71,7 @@
 
     CHANGES = "changes"  # only the servers that changed
     FULL = "full"  # all servers; one that is not listed is gone
-    SAVED = "saved"  # the last full list that this router had, possibly outdated
+    SAVED = "saved"  # the last full list that this router had, possibly outdated; applied as FULL is
     FAILED = "failed"  # a subscription or fetch failed; the list has no entries
 
 
@@ -183,7 +183,7 @@
     cell: int
     state: ServerState
     started: float | None = None  # time of its latest start; None = long ago
-    weight: float = 1.0
+    weight: float = 1.0  # relative, as discovery states it
 
 
 class RoleUsage(NamedTuple):
@@ -191,7 +191,7 @@
 
     listed: int  # servers that run according to the list
     usable: float  # running servers that are not ejected; a cold one counts by its part of the capacity
-    busy: float  # this router's load as a part of its part of the usable capacity; over 1 = overloaded
+    busy: float  # part of the usable capacity in use, judged by this router's load; over 1 = overloaded
 
 
 # ---- events ----
--- a/hopshed/wire.py
+++ b/hopshed/wire.py
@@ -98,9 +98,7 @@
         over_share_worth=env.get("over-share-worth", 1.0),
         instances=max(1, int(env.get("instances", 1))),
         zone=env.get("zone", 0),
-        report_fields=()
-        if mode == "none"
-        else tuple(COLUMNS[name][0] for name in columns if name in COLUMNS),
+        report_fields=() if mode == "none" else tuple(COLUMNS[key][0] for key in columns if key in COLUMNS),
         reports_in_answers=mode == "answers",
         may_probe=bool(caps.get("probes")),
         may_cancel=bool(caps.get("may-cancel")),
