--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -60,7 +60,7 @@
         generation += 1
     p.play("wait 0.05\nclient send ask\nreader expect POST\nreader send read")
     p.until(
-        lambda: any(life.held.possible for life in p.front.router.requests.values()), "the read has ended"
+        lambda: any(record.held.possible for record in p.front.router.requests.values()), "the read has ended"
     )
     ended = p.clock.now
     p.wait(seconds)
@@ -126,15 +126,15 @@
 def test_the_time_left_is_told_as_the_bytes_leave(p: Platform) -> None:
     # It was told as of the decision: up to a whole connect time more than the client had left.
     p.play("client send ask left=5000m")
-    while not any(life.out for life in p.front.router.requests.values()):
+    while not any(record.attempt_out for record in p.front.router.requests.values()):
         p.service.loop.run_turn(0.01)
     decided = p.clock.now
     p.clock.now += 0.2  # the connection takes so long to come up
     p.play("reader expect X-Remaining: ")
     remaining = int(p.parties["reader"].text.partition("u\r\n")[0]) / 1e6
-    life = next(iter(p.front.router.requests.values()))
-    assert life.out is not None and life.out.timer is not None
-    assert remaining <= life.out.timer.at - decided - 0.2 + 0.001
+    record = next(iter(p.front.router.requests.values()))
+    assert record.attempt_out is not None and record.attempt_out.timer is not None
+    assert remaining <= record.attempt_out.timer.at - decided - 0.2 + 0.001
 
 
 @pytest.mark.parametrize("told", [0, -5, "soon", True, float("inf"), float("nan"), [1000]])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,8 +12,7 @@
 from settings import ENV
 from test_platform import Platform, chunk
 
-from hopshed import Controller, wire
-from hopshed import interface as i
+from hopshed import Controller, interface, wire
 from hopshed.gossip import Gossip
 from hopshed.handover import export_state
 from yewhook.core.release_call import Candidate, Ranking, ReleaseCall, Result
@@ -90,8 +89,10 @@
 def test_a_hand_over_holds_1024_workers_and_what_was_learnt_of_each() -> None:
     settings = wire.settings(ENV | {"instances": COUNT})
     module = Controller(settings, 1)
-    servers = tuple(i.Server(n, n % 3, 0, n // 6, i.ServerState.RUNNING) for n in range(1, COUNT + 1))
-    module.handle(1.0, [i.ServersListed(i.ListKind.FULL, servers)])
+    servers = tuple(
+        interface.Server(n, n % 3, 0, n // 6, interface.ServerState.RUNNING) for n in range(1, COUNT + 1)
+    )
+    module.handle(1.0, [interface.ServersListed(interface.ListKind.FULL, servers)])
     listed = handover_encoding.to_listed((server, ("127.0.0.1", 1)) for server in servers)
     handed = handover_encoding.HandOver(1.0, False, 1, listed, {}, export_state(module))
     read = handover_encoding.unpack(handover_encoding.pack(handed), 2.0)
--- a/yewhook/core/__init__.py
+++ b/yewhook/core/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a request, on any front. Nothing in this package knows sockets, HTTP or JSON."""
+"""Transport-independent request handling, shared by all fronts; it has no sockets, HTTP or JSON."""
--- a/yewhook/core/ending.py
+++ b/yewhook/core/ending.py
@@ -1,4 +1,4 @@
-"""Every way in which an attempt's connection can end, and the one map from there to the module's outcomes."""
+"""The ways in which an attempt can end, and the outcome that each one is reported to `hopshed` as."""
 
 from __future__ import annotations
 
@@ -8,30 +8,32 @@
 
 
 class Ending(Enum):
-    SERVED = auto()  # a whole stream, to its last chunk
-    READ = auto()  # a reader has read the prompt and keeps its state
-    ERROR = auto()  # the worker answered that it failed
-    GARBLED = auto()  # what came back is not an answer of the protocol
-    TURNED_AWAY = auto()  # refused by the worker before it began: full, draining or over
-    STATE_GONE = auto()  # turned away because there is no read state to fetch
-    CONNECT_REFUSED = auto()  # no connection: refused, reset or no route
-    CONNECT_SILENT = auto()  # no connection in time
-    NO_SOCKET = auto()  # no connection: this router holds as many sockets as it may
-    BROKEN_UNSENT = auto()  # the connection broke before the request's last byte was written
-    UNSENT_IN_TIME = auto()  # the attempt's time ran out before the last byte was written
-    BROKEN = auto()  # reset after the last byte was written
-    CLOSED = auto()  # ended in good order, but before the answer did
-    TIMED_OUT = auto()  # no answer within the attempt's time
-    CANCELED = auto()  # withdrawn by the module
-    CLIENT_LEFT = auto()  # withdrawn because the client went away
-    MOVED = auto()  # a running stream ended so that its client goes on elsewhere
-    CLIENT_STALLED = auto()  # a running stream ended because its client does not read
-    WORKER_STALLED = auto()  # a running stream stood still for too long
-    TOOL_TIMED_OUT = auto()  # the worker gave up because a tool did not answer in time
-    TOOL_GONE = auto()  # the worker gave up because there is no server for a tool, or it went away
-    TOOL_ERROR = auto()  # the worker gave up because a tool answered with an error
-    SERVER_LEFT = auto()  # withdrawn before it was on its way: its server was told to drain, or is gone
-    NOT_SENT = auto()  # withheld by the core: a rule forbids it, or the request is over
+    """How an attempt ended, as seen on its connection; logs and error answers use the names in lower case."""
+
+    SERVED = auto()  # the stream arrived complete
+    READ = auto()  # a reader has processed the prompt and holds its state
+    ERROR = auto()  # the worker answered with an error
+    GARBLED = auto()  # the response violates the protocol
+    TURNED_AWAY = auto()  # rejected by the worker before it ran: full, draining or overloaded
+    STATE_GONE = auto()  # rejected by a writer: there is no held state to fetch
+    CONNECT_REFUSED = auto()  # connecting failed: refused, reset or no route to the host
+    CONNECT_SILENT = auto()  # connecting timed out
+    NO_SOCKET = auto()  # not connected: this router has reached its socket limit
+    BROKEN_UNSENT = auto()  # the connection broke before the last byte of the request was written
+    UNSENT_IN_TIME = auto()  # the attempt timed out before the last byte was written
+    BROKEN = auto()  # the connection was reset after the last byte was written
+    CLOSED = auto()  # the connection was closed cleanly before the response was complete
+    TIMED_OUT = auto()  # no response within the attempt's timeout
+    CANCELED = auto()  # canceled by `hopshed`
+    CLIENT_LEFT = auto()  # canceled because the client disconnected
+    MOVED = auto()  # a running stream was ended so that its client resumes on another server
+    CLIENT_STALLED = auto()  # a running stream was ended because its client does not read it
+    WORKER_STALLED = auto()  # a running stream made no progress for too long
+    TOOL_TIMED_OUT = auto()  # the worker gave up: a tool did not answer in time
+    TOOL_GONE = auto()  # the worker gave up: a tool has no server, or its server disappeared
+    TOOL_ERROR = auto()  # the worker gave up: a tool answered with an error
+    SERVER_LEFT = auto()  # withdrawn before any byte was written: its server drains or is gone
+    NOT_SENT = auto()  # never sent: a rule on sending forbids it, or the request has ended
 
 
 OUTCOMES: dict[Ending, Outcome] = {
@@ -61,10 +63,13 @@
     Ending.NOT_SENT: Outcome.NOT_SENT,
 }
 
-NO_STATE_NOTE = 1  # the note by which the module knows that a full writer had no state to fetch
+NO_STATE_NOTE = 1  # `AttemptEnded.note` of a FULL outcome where the writer found no state to fetch
 
-# After these a reader may hold a state: it kept one, or the end of its read crossed ours.
-MAY_HOLD = frozenset({Outcome.READ, Outcome.RESET, Outcome.TIMED_OUT, Outcome.CANCELED, Outcome.FAILED})
+# After these outcomes a reader may hold state: the read succeeded, or may have completed just before the
+# router saw the attempt end.
+MAY_LEAVE_STATE = frozenset(
+    {Outcome.READ, Outcome.RESET, Outcome.TIMED_OUT, Outcome.CANCELED, Outcome.FAILED}
+)
 
-# These are our own doing: the worker learns of them when it sees the connection close.
-GIVEN_UP = frozenset({Ending.TIMED_OUT, Ending.CANCELED, Ending.CLIENT_LEFT})
+# In these cases this router closes the connection: the worker learns of it only when it sees the close.
+CLOSED_BY_ROUTER = frozenset({Ending.TIMED_OUT, Ending.CANCELED, Ending.CLIENT_LEFT})
--- a/yewhook/core/held_state.py
+++ b/yewhook/core/held_state.py
@@ -1,14 +1,14 @@
-"""The time limit on what workers hold for one request.
+"""The time limit on the state that workers hold for one request.
 
-A reader keeps the state of a prompt that it has read until a writer fetches it, and the settings limit how
-long it may wait there while no attempt of the request is out. An attempt is out once its last byte has
-reached a running worker, and only the worker's answer shows that it has: the local kernel takes bytes for a
-machine that hangs or is cut off, and for a connection that the other side has forgotten. So neither sending
-an attempt nor giving one up stops this clock or starts it anew; an answer does.
+A reader holds the state of a prompt that it has read until a writer fetches it. The settings limit how long
+it may be held while no attempt of the request is out. An attempt counts as out once its last byte has reached
+a running worker, which only the worker's answer proves: the local kernel also accepts bytes for a machine
+that hangs or is cut off, and for a connection that the peer has forgotten. So sending or aborting an attempt
+neither stops nor restarts this clock; an answer does restart it.
 
-Letting go costs a writer that lives next to nothing: what an attempt there waits for stays. That is why it
-may be done while such an attempt is out, and why something may still be held when it ends. It undoes a read
-that is under way, so none is begun until what earlier attempts may have left is let go.
+A release does not affect state that an attempt at a running writer waits for. It may therefore be sent while
+such an attempt is out, and state may still be held when that attempt ends. A release discards a read that is
+in progress, so no read is begun until the state that earlier attempts may have left has been released.
 """
 
 from __future__ import annotations
@@ -17,53 +17,52 @@
 
 from hopshed.interface import Outcome
 
-from .ending import MAY_HOLD
+from .ending import MAY_LEAVE_STATE
 
-# Share of the limit that may pass before the state is let go; the rest is for the call that does so.
-USABLE_SHARE = 0.8
-REACHED_NOBODY = frozenset({Outcome.UNREACHABLE, Outcome.NOT_SENT})
-ANSWERED = frozenset({Outcome.READ, Outcome.FULL, Outcome.FAILED})  # by the worker: the attempt has arrived
+RELEASE_AT_SHARE = 0.8  # of the limit; the rest is left for the release call
+NOT_DELIVERED = frozenset({Outcome.UNREACHABLE, Outcome.NOT_SENT})
+ANSWERED_BY_WORKER = frozenset({Outcome.READ, Outcome.FULL, Outcome.FAILED})  # so the attempt has arrived
 
 
 @dataclass(slots=True)
 class HeldState:
-    """Whether a worker may hold something for a request, and since when. All times are the loop's, in s."""
+    """Whether workers may hold state for a request, and since when; times are seconds of the loop's clock."""
 
-    limit: float  # s for which a state may be held while no attempt is out
-    since: float | None = None  # of what attempts have left that are over; None where that is nothing
-    _awaited: bool = False  # it was let go while an attempt was out that may wait for it, and so keep it
+    limit: float  # seconds for which state may be held while no attempt is out
+    since: float | None = None  # start of the limit for state left by ended attempts; None = no such state
+    _released_while_out: bool = False  # released while an attempt was out, which may have kept the state
 
     @property
     def possible(self) -> bool:
-        """Whether a worker may hold something that no attempt waits for."""
+        """Whether a worker may hold state that no attempt waits for."""
         return self.since is not None
 
     @property
     def release_at(self) -> float:
-        """When it has to be let go at the latest; infinity where nothing can be held."""
-        return float("inf") if self.since is None else self.since + USABLE_SHARE * self.limit
+        """The time at which to begin the release at the latest; infinity if no state can be held."""
+        return float("inf") if self.since is None else self.since + RELEASE_AT_SHARE * self.limit
 
     @property
     def due(self) -> float:
-        """When workers must have been told that it is let go; infinity where nothing can be held."""
+        """The time by which workers must have been told; infinity if no state can be held."""
         return float("inf") if self.since is None else self.since + self.limit
 
-    def attempt_ended(self, outcome: Outcome, reads: bool, sent: float, now: float) -> None:
-        """Take the end of an attempt into account; `reads` = it was at a reader, `sent` = when it went."""
-        awaited, self._awaited = self._awaited, False
-        left_by_read = reads and outcome in MAY_HOLD
-        if outcome in REACHED_NOBODY:
+    def attempt_ended(self, outcome: Outcome, at_reader: bool, sent_at: float, now: float) -> None:
+        """Take the end of an attempt into account."""
+        released_while_out, self._released_while_out = self._released_while_out, False
+        left_by_read = at_reader and outcome in MAY_LEAVE_STATE
+        if outcome in NOT_DELIVERED:
             return
-        if awaited or (outcome in ANSWERED and (self.possible or left_by_read)):
+        if released_while_out or (outcome in ANSWERED_BY_WORKER and (self.possible or left_by_read)):
             self.since = now
         elif left_by_read and not self.possible:
-            self.since = sent  # its answer may be lost, and the state be there since any moment
+            self.since = sent_at  # the answer may be lost, and the state may exist since any time after that
 
-    def let_go(self, out: bool) -> None:
-        """Workers are being told to let go of it; `out` = while an attempt is out."""
-        self._awaited = out and (self.possible or self._awaited)
+    def mark_released(self, attempt_out: bool) -> None:
+        """Workers are being told to release the state; `attempt_out` = while an attempt is out."""
+        self._released_while_out = attempt_out and (self.possible or self._released_while_out)
         self.since = None
 
-    def fetched(self) -> None:
-        """A writer has it."""
-        self.since, self._awaited = None, False
+    def mark_fetched(self) -> None:
+        """A writer has fetched the state."""
+        self.since, self._released_while_out = None, False
--- a/yewhook/core/ports.py
+++ b/yewhook/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of a front: of the client of one request, and of the workers' side."""
+"""The interfaces between the core and a front: its clients, its workers and the level-of-service governor."""
 
 from __future__ import annotations
 
@@ -11,79 +11,97 @@
 
 
 class Client(Protocol):
-    """The client's end of one request. Exactly one of finish, abort_stream, refuse and fail is called,
-    once."""
+    """The client of one request. Exactly one of finish, abort_stream, refuse and fail is called, once."""
 
     @property
     def disconnected(self) -> bool:
-        """Whether it can be seen now that it has closed its connection."""
+        """Whether the client is known to have closed its connection."""
 
     def send_event(self, event: object) -> None:
-        """Pass on one event of the running stream; the first one opens the answer."""
+        """Pass on one event of the stream; the first one begins the response."""
 
     def finish(self) -> None:
-        """The stream is whole."""
+        """End the response: the stream is complete."""
 
     def abort_stream(self, ending: Ending) -> None:
-        """The stream ends before it is whole."""
+        """End the response before the stream is complete."""
 
     def refuse(self, retry_after: float) -> None:
-        """Not served, and trying again is harmless; 0 = no advice on when."""
+        """Answer that the request was not served and may safely be retried.
+
+        `retry_after` is the advised delay in seconds; 0 = no advice.
+        """
 
     def fail(self, ending: Ending | None) -> None:
-        """Not served, nothing promised."""
+        """Answer that the request was not served, and may have had an effect.
+
+        `ending` is that of the last attempt, None if there was none.
+        """
 
 
 class Workers(Protocol):
-    """The way to the workers. An attempt's end is told to the core, once, by `Router.attempt_ended`."""
+    """Sends attempts to workers; the end of each is reported once, to `AttemptListener.attempt_ended`."""
 
     def send(
-        self, request_id: str, attempt: int, server: int, call: object, timeout: float, begins: float
+        self,
+        request_id: str,
+        attempt: int,
+        server: int,
+        payload: object,
+        timeout: float,
+        connect_timeout: float,
     ) -> None:
-        """Send one attempt; `call` is what the front handed in with the request, `begins` the s in which its
-        first byte must be on its way, or it never may."""
+        """Send one attempt, whose timeouts are in seconds.
+
+        `payload` is what the front passed to `Router.accept`. If the first byte has not been written within
+        `connect_timeout`, nothing may be sent any more.
+        """
 
     def abort(self, request_id: str, attempt: int) -> bool:
-        """Abandon an attempt; nothing more is told of it. Whether its last byte had been written."""
+        """Abort an attempt, of which nothing more is reported; returns whether its last byte was written."""
 
     def catch_up(self, request_id: str, attempt: int) -> None:
-        """Tell what has come of an attempt by now, before it is ended."""
+        """Read and report what has already arrived for an attempt, before it is ended."""
 
     def withdraw(self, request_id: str, attempt: int) -> bool:
-        """Abandon an attempt of which nothing is on its way yet; whether that was so."""
+        """Abort an attempt if no byte of it has been written yet; returns whether it was aborted."""
 
     def release(self, request_id: str, begin_at: float, due: float, done: Callable[[], None]) -> None:
-        """Let go of all that is held for the request, at any worker: told from one time on and by another.
+        """Release all state that workers hold for the request; it is enough that one worker confirms.
 
-        `done` is called once a worker has confirmed it, or nobody has for long."""
+        Workers are called between `begin_at` and `due`, both in seconds of the loop's clock. `done` is called
+        once a worker has confirmed, or the release has been abandoned.
+        """
 
     def pause(self, request_id: str, attempt: int, paused: bool) -> None:
-        """Stop or go on reading a stream whose client is slow."""
+        """Pause or resume reading a stream whose client reads slowly."""
 
     def forget(self, server: int) -> None:
-        """The server has been gone for long."""
+        """Drop what is kept for a server that has been gone for `FORGET_AFTER`."""
 
 
 class AttemptListener(Protocol):
-    """Where the workers' side tells what comes of an attempt: the core's router."""
+    """Receives the stream events and the end of each attempt; implemented by `Router`."""
 
-    def stream_event(self, request_id: str, number: int, data: object) -> bool: ...
+    def stream_event(self, request_id: str, number: int, data: object) -> bool:
+        """Take one event of the attempt's stream; returns False where it is not passed to the client."""
 
     def attempt_ended(
         self, request_id: str, number: int, ending: Ending, note: int = 0, load: Load | None = None
-    ) -> None: ...
+    ) -> None:
+        """Take the end of an attempt; called once for each."""
 
 
 class Governor(Protocol):
-    """Judges the service as a whole, beside the module, which goes on to decide on each request."""
+    """Chooses the level of service for all requests together; `hopshed` still decides on each one."""
 
     def filter_events(
-        self, now: float, events: Sequence[Event], sight: Callable[[float], dict[Role, RoleUsage]]
+        self, now: float, events: Sequence[Event], role_usage: Callable[[float], dict[Role, RoleUsage]]
     ) -> list[Event]:
-        """The events that the module is to hear of this turn."""
+        """Return the events that `hopshed` is to handle in this turn."""
 
     def observe_actions(self, now: float, actions: Sequence[Action]) -> None:
-        """What the module did with them."""
+        """Take the actions that `hopshed` answered them with."""
 
     def start_over(self) -> None:
-        """The module failed and begins anew."""
+        """Forget all open requests and report the level anew: `hopshed` failed and has been restarted."""
--- a/yewhook/core/request_records.py
+++ b/yewhook/core/request_records.py
@@ -1,4 +1,4 @@
-"""The records of a request's life. `router.py` moves them from stage to stage."""
+"""The records of open requests and their attempts; `router.py` moves them from stage to stage."""
 
 from __future__ import annotations
 
@@ -15,53 +15,60 @@
 
 
 class Stage(Enum):
-    ACCEPTED = auto()  # taken; the module has not been told yet
-    DECIDING = auto()  # the module holds it, or chooses where it goes next
+    """The stages of a request, in order; a failed attempt leads back to DECIDING."""
+
+    ACCEPTED = auto()  # not yet passed to `hopshed`
+    DECIDING = auto()  # `hopshed` holds it, or decides where to send it next
     ATTEMPT_OUT = auto()
-    STREAMING = auto()  # the answer has begun: the running attempt belongs to the client
-    ENDED = auto()  # its one final answer has been given, or nobody waits for it any more
+    STREAMING = auto()  # the response has begun; the request is not sent to another server any more
+    ENDED = auto()  # the final answer has been given, or the client has left
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
+    """One send of a request to one server; times are seconds of the loop's clock."""
+
     number: int
     server: int
-    reads: bool  # at a reader, where it has no effect however it ends
-    sent: float
-    live: bool = True
+    at_reader: bool  # readers only process the prompt: no ending of such an attempt has an effect
+    sent_at: float
+    is_out: bool = True
     ending: Ending | None = None
-    timer: Deadline | None = None
+    timer: Deadline | None = None  # its timeout
 
     def __str__(self) -> str:
-        return f"{'read' if self.reads else 'attempt'} {self.number} at {self.server}"
+        return f"{'read' if self.at_reader else 'attempt'} {self.number} at {self.server}"
 
 
 @dataclass(eq=False, slots=True)
 class RequestRecord:
+    """An open request with all its attempts; times are seconds of the loop's clock."""
+
     arrived: RequestArrived
     effect: Effect
     client: Client
-    call: object  # what the front wants carried to the worker
+    payload: object  # passed by the front, and handed to `Workers.send` unchanged
     deadline: float
     held: HeldState
     stage: Stage = Stage.ACCEPTED
     attempts: list[Attempt] = field(default_factory=list)
-    timers: list[Deadline] = field(default_factory=list)
-    let_go: Deadline | None = None
-    releases: int = 0  # that no worker has confirmed yet
-    waiting: Callable[[], None] | None = None  # sends the attempt that waits for them
-    reason: str = ""  # why the module does not serve it, for the log
+    timers: list[Deadline] = field(default_factory=list)  # canceled when the response begins
+    release_timer: Deadline | None = None  # for state that is held too long
+    open_releases: int = 0  # neither confirmed nor abandoned yet
+    send_waiting: Callable[[], None] | None = None  # sends the read that waits for the open releases
+    reason: str = ""  # why the request is not served, for the log
 
     @property
     def id(self) -> str:
+        """The request's id, as given by the front."""
         return self.arrived.id
 
     @property
     def unanswered(self) -> bool:
-        """Whether its one answer has not even begun."""
+        """Whether no response has been begun."""
         return self.stage not in (Stage.STREAMING, Stage.ENDED)
 
     @property
-    def out(self) -> Attempt | None:
-        """The attempt that is out; there is never a second one."""
-        return next((attempt for attempt in self.attempts if attempt.live), None)
+    def attempt_out(self) -> Attempt | None:
+        """The attempt that is out; there is one at most."""
+        return next((attempt for attempt in self.attempts if attempt.is_out), None)
--- a/yewhook/core/router.py
+++ b/yewhook/core/router.py
@@ -1,7 +1,8 @@
-"""One router's requests: facts in, one call of the module a turn, its actions out.
+"""Handles one router's requests: collects events, calls `hopshed` once a turn, and carries out its actions.
 
-Whatever the front, this keeps what must hold: one final answer, one attempt at a time, no repeat of an unsafe
-request that may have run, nothing new to a server long told to drain, and no state left held.
+The router enforces what must hold on any front and whatever `hopshed` decides: one final answer for each
+request, one attempt at a time, no repeat of an unsafe request that may have run, no new attempt at a server
+that has been draining for longer than the grace, and no state left held.
 """
 
 from __future__ import annotations
@@ -11,8 +12,7 @@
 from functools import partial
 from typing import Any, TypeVar
 
-from hopshed import Controller
-from hopshed import interface as i
+from hopshed import Controller, interface
 from hopshed.handover import LearnedState, export_state, import_state, merge_state, split_state
 from hopshed.role_usage import role_usage
 
@@ -28,421 +28,467 @@
 from .state_releases import StateReleases
 
 T = TypeVar("T")
-ANSWER_GRACE = 0.02  # s after its deadline at which a request that the module left open is answered
+ANSWER_GRACE_S = 0.02  # after its deadline, a request that `hopshed` has left open is answered by the router
 
 
 class Router:
+    """The requests of one router, from their acceptance to the release of their state."""
+
     def __init__(
         self,
-        settings: i.Settings,
+        settings: interface.Settings,
         seed: int,
         deadlines: Deadlines,
         clock: Callable[[], float],
         workers: Workers,
         log: Log,
     ) -> None:
+        """Create a router; `clock` returns seconds of the loop's clock, `seed` is that of `hopshed`."""
         self.settings, self.workers, self.log = settings, workers, log
-        self.governor: Governor | None = None  # levels of service, where they are on
-        self.tell: Callable[[bytes], None] = lambda data: None  # to the other routers, where there is a way
+        self.governor: Governor | None = None  # set where levels of service are enabled
+        self.tell: Callable[[bytes], None] = lambda data: (
+            None
+        )  # sends a message to all other routers, where the front can
         self.requests: dict[str, RequestRecord] = {}
         self.table = ServerTable()
         self._spent = SpentIds()
-        self._module = Controller(settings, seed, self._explained)
+        self._module = Controller(settings, seed, self._set_reason)
         self._seed = seed
         self._deadlines, self._clock = deadlines, clock
-        self._facts: list[i.Event] = []
-        self._unsettled: list[RequestRecord] = []
+        self._events: list[interface.Event] = []
+        self._changed: list[RequestRecord] = []  # records to settle at the end of the turn
         self._releases = StateReleases(
-            deadlines, clock, workers, log, settings.release_within, self._held_too_long
+            deadlines, clock, workers, log, settings.release_within, self._state_expired
         )
         self._module_timer: Deadline | None = None
-        self._do: dict[type, Callable[[Any], None]] = {
-            i.Send: self._send, i.Refuse: self._refuse, i.Fail: self._fail, i.ReleaseState: self._release,
-            i.CancelAttempt: self._cancel, i.MoveStream: self._move, i.SetTimer: self._set_timer,
-            i.Tell: lambda act: self.tell(act.data),
-            i.Log: lambda act: self.log("module", act.text),
-            i.Subscribe: lambda act: None,  # discovery pushes
-            i.Probe: lambda act: self._facts.append(i.ProbeEnded(act.server, False, 0.0)),  # not permitted
-        }  # fmt: skip
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            interface.Send: self._send,
+            interface.Refuse: self._refuse,
+            interface.Fail: self._fail,
+            interface.ReleaseState: self._release,
+            interface.CancelAttempt: self._cancel,
+            interface.MoveStream: self._move,
+            interface.SetTimer: self._set_timer,
+            interface.Tell: lambda action: self.tell(action.data),
+            interface.Log: lambda action: self.log("module", action.text),
+            interface.Subscribe: lambda action: None,  # discovery pushes its lists
+            # Probes are not permitted.
+            interface.Probe: lambda action: self._events.append(
+                interface.ProbeEnded(action.server, False, 0.0)
+            ),
+        }
 
     @property
-    def servers(self) -> dict[int, i.Server]:
-        """All servers that discovery has named lately, by number."""
+    def servers(self) -> dict[int, interface.Server]:
+        """All servers by number, including those gone for less than `FORGET_AFTER`."""
         return self.table.servers
 
     @property
     def busy(self) -> bool:
+        """Whether any request is open."""
         return bool(self.requests)
 
-    # ---- facts from a front ----
+    # ---- events from a front ----
+
+    def accept(self, arrived: interface.RequestArrived, client: Client, payload: object) -> bool:
+        """Accept a request; `payload` is handed to `Workers.send` unchanged.
 
-    def accept(self, arrived: i.RequestArrived, client: Client, call: object) -> bool:
-        """Take a request over; False where one with this id is open, or has run and may not be repeated."""
-        if arrived.id in self.requests or self._spent.holds(arrived.id, self._clock()):
+        Returns False if a request with this id is open, or has ended, may have run and must not be repeated.
+        """
+        if arrived.id in self.requests or self._spent.contains(arrived.id, self._clock()):
             return False
         effect = self.settings.classes[arrived.cls].effect
         deadline = self._clock() + arrived.patience
         held = HeldState(self.settings.release_within)
-        life = self.requests[arrived.id] = RequestRecord(arrived, effect, client, call, deadline, held)
-        at = life.deadline + ANSWER_GRACE
-        life.timers.append(self._deadlines.set(at, lambda: self._overdue(life)))
-        self._facts.append(arrived)
+        record = self.requests[arrived.id] = RequestRecord(arrived, effect, client, payload, deadline, held)
+        at = record.deadline + ANSWER_GRACE_S
+        record.timers.append(self._deadlines.set(at, lambda: self._overdue(record)))
+        self._events.append(arrived)
         if self.log.detailed:
             self.log("request accepted", f"{arrived.id} class {arrived.cls}, {arrived.patience:.3f} s left")
         return True
 
     def client_left(self, request_id: str, ending: Ending = Ending.CLIENT_LEFT) -> None:
-        life = self.requests.get(request_id)
-        if life is None or life.stage is Stage.ENDED:
+        """End a request whose client has disconnected, without an answer."""
+        record = self.requests.get(request_id)
+        if record is None or record.stage is Stage.ENDED:
             return
-        self.log("client left", f"{request_id} {life.stage.name.lower()}: {ending.name.lower()}")
-        if life.stage is not Stage.STREAMING:
-            self._facts.append(i.ClientGone(request_id))
-        self._end(life, ending)
+        self.log("client left", f"{request_id} {record.stage.name.lower()}: {ending.name.lower()}")
+        if record.stage is not Stage.STREAMING:
+            self._events.append(interface.ClientGone(request_id))
+        self._end(record, ending)
 
     def give_up(self, request_id: str) -> None:
-        """Answer a request now, whatever the module would still have done for it."""
-        life = self.requests.get(request_id)
-        if life is not None and life.unanswered:
-            life.reason = "given up"
-            self._facts.append(i.ClientGone(request_id))
-            self._decline(life, 0.0)
+        """Refuse or fail a request now, without waiting for a decision."""
+        record = self.requests.get(request_id)
+        if record is not None and record.unanswered:
+            record.reason = "given up"
+            self._events.append(interface.ClientGone(request_id))
+            self._decline(record, 0.0)
 
     def client_slow(self, request_id: str, slow: bool) -> None:
-        life = self.requests.get(request_id)
-        if life is not None and life.stage is Stage.STREAMING and life.out is not None:
-            self.workers.pause(request_id, life.out.number, slow)
+        """Pause a stream while its client reads slowly, and resume it afterwards."""
+        record = self.requests.get(request_id)
+        if record is not None and record.stage is Stage.STREAMING and record.attempt_out is not None:
+            self.workers.pause(request_id, record.attempt_out.number, slow)
 
     def move_streams(self, part: float) -> None:
-        """Move a part of the streams, the latest first: the others are nearer to their ends."""
-        streams = [life for life in self.requests.values() if life.stage is Stage.STREAMING]
+        """Move a part (0 to 1) of the streams to other servers.
+
+        The latest requests are moved first, since older ones are likely to finish sooner.
+        """
+        streams = [record for record in self.requests.values() if record.stage is Stage.STREAMING]
         count = int(part * len(streams)) if self.settings.may_resume else 0
-        for life in streams[len(streams) - count :]:
-            self._move(i.MoveStream(life.id))
+        for record in streams[len(streams) - count :]:
+            self._move(interface.MoveStream(record.id))
 
     def end_all(self) -> None:
-        """End all that is open in good order, for the process is about to go: clients go on elsewhere."""
-        for life in list(self.requests.values()):
-            self.give_up(life.id)
-            self._move(i.MoveStream(life.id))
+        """End all open requests cleanly before the process exits; clients resume their streams elsewhere."""
+        for record in list(self.requests.values()):
+            self.give_up(record.id)
+            self._move(interface.MoveStream(record.id))
 
-    # ---- facts from the workers' side ----
+    # ---- events from workers, discovery and other routers ----
 
-    def servers_listed(self, kind: i.ListKind, servers: tuple[i.Server, ...]) -> None:
-        """A list of servers, or changes to it, as discovery has just written it."""
+    def servers_listed(self, kind: interface.ListKind, servers: tuple[interface.Server, ...]) -> None:
+        """Take a list of servers, or changes to it, that has just come from discovery.
+
+        Attempts at servers that now drain or are gone are withdrawn if no byte has been written yet.
+        """
         now = self._clock()
         changes = self.table.update(kind, servers, now)
         for number in changes.gone:
-            self._deadlines.set(now + i.FORGET_AFTER, partial(self._forget, number))
-        self._facts.append(i.ServersListed(kind, servers))
-        for life in list(self.requests.values()) if changes.withdrawn else ():
-            out = life.out
+            self._deadlines.set(now + interface.FORGET_AFTER, partial(self._forget, number))
+        self._events.append(interface.ServersListed(kind, servers))
+        for record in list(self.requests.values()) if changes.withdrawn else ():
+            out = record.attempt_out
             if (
                 out is not None
                 and out.server in changes.withdrawn
-                and self.workers.withdraw(life.id, out.number)
+                and self.workers.withdraw(record.id, out.number)
             ):
-                self.attempt_ended(life.id, out.number, Ending.SERVER_LEFT)
+                self.attempt_ended(record.id, out.number, Ending.SERVER_LEFT)
 
     def split_learned_state(self) -> LearnedState:
-        """What the module has learnt, for a successor."""
+        """What `hopshed` has learnt, for a successor that runs beside this router.
+
+        Half of the budget of each cold server is given up to the successor.
+        """
         return split_state(self._module)
 
     def export_learned_state(self) -> LearnedState:
-        """What the module has learnt, for a process that comes after this one's end."""
+        """What `hopshed` has learnt, for a process that starts after this one has exited."""
         return export_state(self._module)
 
     def merge_learned_state(self, known: LearnedState) -> None:
-        """Let the module know what an earlier process learnt."""
+        """Add what an earlier process learnt; what this router has learnt itself takes precedence."""
         merge_state(self._module, known)
 
     def resume(self, withdrawn_since: dict[int, float], known: LearnedState) -> None:
-        """Go on from a predecessor's knowledge, once the list has been heard. Raises ValueError."""
+        """Continue with what a predecessor learnt; call this after its server list has been passed on.
+
+        Raises ValueError if `known` was learnt with other settings.
+        """
         self.table.resume(withdrawn_since)
         self.turn(self._clock())
         import_state(self._module, known, self._clock())
 
     @property
     def withdrawn_since(self) -> dict[int, float]:
+        """When each server that drains or is gone began to, in seconds of the loop's clock."""
         return dict(self.table.withdrawn_since)
 
     def _forget(self, number: int) -> None:
-        """Let go of all that is known of a server that has been gone for long; ids never come to an end."""
+        """Drop a server that has been gone for `FORGET_AFTER`: new ids keep coming, and memory is bounded."""
         if self.table.forget(number, self._clock()):
             self.workers.forget(number)
 
     def peer_message(self, sender: int, data: bytes) -> None:
-        """A message of another router."""
-        self._facts.append(i.PeerSaid(sender, data))
+        """Take a message from another router."""
+        self._events.append(interface.PeerSaid(sender, data))
 
     def stream_event(self, request_id: str, number: int, data: object) -> bool:
-        """One event of an attempt's stream; with the first, the attempt belongs to the client.
+        """Pass one event of an attempt's stream to the client; the first one begins the response.
 
-        False where the client has no part in it: the request is over, or a reader has nothing to say to it.
+        Returns False, and passes nothing on, if the request has ended or the attempt is at a reader.
         """
-        life, attempt = self._out(request_id, number)
-        if life is None or attempt is None or attempt.reads or life.stage is Stage.ENDED:
+        record, attempt = self._find_attempt(request_id, number)
+        if record is None or attempt is None or attempt.at_reader or record.stage is Stage.ENDED:
             return False
-        if life.stage is not Stage.STREAMING:
-            life.stage = Stage.STREAMING
-            life.held.fetched()
-            self._releases.watch(life)
-            self._stop_timers(life, attempt)
-            latency = self._clock() - attempt.sent
-            self._facts.append(i.StreamStarted(request_id, number, attempt.server, latency))
-        life.client.send_event(data)
+        if record.stage is not Stage.STREAMING:
+            record.stage = Stage.STREAMING
+            record.held.mark_fetched()
+            self._releases.schedule(record)
+            self._stop_timers(record, attempt)
+            latency = self._clock() - attempt.sent_at
+            self._events.append(interface.StreamStarted(request_id, number, attempt.server, latency))
+        record.client.send_event(data)
         return True
 
     def attempt_ended(
-        self, request_id: str, number: int, ending: Ending, note: int = 0, load: i.Load | None = None
+        self, request_id: str, number: int, ending: Ending, note: int = 0, load: interface.Load | None = None
     ) -> None:
-        """An attempt has ended; each is told of once."""
-        life, attempt = self._out(request_id, number)
-        if life is None or attempt is None:
+        """Take the end of an attempt; the end of one that is not out is ignored."""
+        record, attempt = self._find_attempt(request_id, number)
+        if record is None or attempt is None:
             return
-        if ending is Ending.SERVED and life.stage is not Stage.STREAMING:
-            ending = Ending.GARBLED  # a stream without a single event is no answer
-        attempt.live, attempt.ending = False, ending
-        life.waiting = None
+        if ending is Ending.SERVED and record.stage is not Stage.STREAMING:
+            ending = Ending.GARBLED  # a stream without any event is not a valid response
+        attempt.is_out, attempt.ending = False, ending
+        record.send_waiting = None
         self._deadlines.cancel(attempt.timer)
         outcome = OUTCOMES[ending]
         if ending is Ending.STATE_GONE:
             note = NO_STATE_NOTE
-        life.held.attempt_ended(outcome, attempt.reads, attempt.sent, self._clock())
-        if life.stage is Stage.STREAMING:
-            self._finish(life, ending)
-        elif life.stage is Stage.ATTEMPT_OUT:
-            life.stage = Stage.DECIDING
-        closed = life.stage is Stage.ENDED
-        latency = self._clock() - attempt.sent
+        record.held.attempt_ended(outcome, attempt.at_reader, attempt.sent_at, self._clock())
+        if record.stage is Stage.STREAMING:
+            self._end_stream(record, ending)
+        elif record.stage is Stage.ATTEMPT_OUT:
+            record.stage = Stage.DECIDING
+        closed = record.stage is Stage.ENDED
+        latency = self._clock() - attempt.sent_at
         if self.log.detailed or ending not in (Ending.SERVED, Ending.READ):
             self.log("attempt ended", f"{request_id} {attempt}: {ending.name.lower()}, {latency:.3f} s")
-        self._facts.append(
-            i.AttemptEnded(request_id, number, attempt.server, outcome, latency, closed, note, load)
+        self._events.append(
+            interface.AttemptEnded(request_id, number, attempt.server, outcome, latency, closed, note, load)
         )
-        self._unsettled.append(life)
+        self._changed.append(record)
 
-    # ---- the turn ----
+    # ---- one turn of the event loop ----
 
     def turn(self, now: float) -> bool:
-        events, self._facts = self._facts, []
+        """Let `hopshed` decide on all new events; returns whether that has caused further ones."""
+        events, self._events = self._events, []
         if events:
             for event in events:
-                if isinstance(event, i.RequestArrived) and (life := self.requests.get(event.id)):
-                    life.stage = Stage.DECIDING if life.stage is Stage.ACCEPTED else life.stage
+                if isinstance(event, interface.RequestArrived) and (record := self.requests.get(event.id)):
+                    record.stage = Stage.DECIDING if record.stage is Stage.ACCEPTED else record.stage
             try:
                 if self.governor is not None:
-                    heard, sees = events, partial(role_usage, self._module)
-                    events = self._governed(lambda g: g.filter_events(now, heard, sees), heard)
+                    unfiltered, usage = events, partial(role_usage, self._module)
+                    events = self._ask_governor(lambda g: g.filter_events(now, unfiltered, usage), unfiltered)
                 actions = self._module.handle(now, events)
                 if self.governor is not None:
-                    self._governed(lambda g: g.observe_actions(now, actions), None)
-                for act in actions:
-                    self._do[type(act)](act)
+                    self._ask_governor(lambda g: g.observe_actions(now, actions), None)
+                for action in actions:
+                    self._handlers[type(action)](action)
             except Exception:
                 self.log("turn failed", traceback.format_exc().replace("\n", " | "))
-                self._start_over()
-        unsettled, self._unsettled = self._unsettled, []
-        for life in unsettled:
-            self._settle(life)
-        return bool(self._facts)
+                self._restart_module()
+        changed, self._changed = self._changed, []
+        for record in changed:
+            self._settle(record)
+        return bool(self._events)
 
     def set_governor(self, governor: Governor | None) -> None:
-        """Go on with this governor, or with none; it hears of the fleet before anything else."""
+        """Replace the governor, or remove it with None; a new one is first given the whole server list."""
         self.governor = governor
-        self._facts.append(i.ServiceLevel())
+        self._events.append(interface.ServiceLevel())
         if governor is not None:
-            self._facts.append(i.ServersListed(i.ListKind.FULL, self._listed()))
+            self._events.append(interface.ServersListed(interface.ListKind.FULL, self._listed()))
 
-    def _listed(self) -> tuple[i.Server, ...]:
+    def _listed(self) -> tuple[interface.Server, ...]:
         return self.table.present()
 
-    def _governed(self, ask: Callable[[Governor], T], otherwise: T) -> T:
-        """Ask the governor, if there is one. One that fails is given up: service goes on in full."""
+    def _ask_governor(self, call: Callable[[Governor], T], default: T) -> T:
+        """Call the governor; returns `default` if there is none or it fails.
+
+        A governor that raises is removed, and the level returns to full service.
+        """
         if self.governor is None:
-            return otherwise
+            return default
         try:
-            return ask(self.governor)
+            return call(self.governor)
         except Exception:
             self.log("levels failed", traceback.format_exc().replace("\n", " | "))
             self.set_governor(None)
-            return otherwise
-
-    def _start_over(self) -> None:
-        """The module failed half-way: answer what waits on it, and go on with a fresh one."""
-        for life in list(self.requests.values()):
-            if life.unanswered:
-                life.reason = "the module failed"
-                self._decline(life, 0.0)
+            return default
+
+    def _restart_module(self) -> None:
+        """Answer all requests that wait for a decision, and start a new `Controller` after one has failed."""
+        for record in list(self.requests.values()):
+            if record.unanswered:
+                record.reason = "the decision module failed"
+                self._decline(record, 0.0)
         if self.governor is not None:
             self.governor.start_over()
         self._deadlines.cancel(self._module_timer)
-        self._module = Controller(self.settings, self._seed, self._explained)
-        self._facts = [i.ServersListed(i.ListKind.FULL, self._listed())]
+        self._module = Controller(self.settings, self._seed, self._set_reason)
+        self._events = [interface.ServersListed(interface.ListKind.FULL, self._listed())]
 
-    def _explained(self, request_id: str, reason: str) -> None:
-        if life := self.requests.get(request_id):
-            life.reason = reason
+    def _set_reason(self, request_id: str, reason: str) -> None:
+        if record := self.requests.get(request_id):
+            record.reason = reason
 
-    # ---- the module's actions ----
+    # ---- actions of `hopshed` ----
 
-    def _send(self, act: i.Send) -> None:
-        life = self.requests.get(act.id)
-        if life is None:
-            self.log("send for an unknown request", act.id)
+    def _send(self, action: interface.Send) -> None:
+        record = self.requests.get(action.id)
+        if record is None:
+            self.log("send for an unknown request", action.id)
             return
-        server = self.servers.get(act.server)
-        number = len(life.attempts)
-        reads = server is not None and self.settings.roles[server.kind] is i.Role.READER
-        withheld = send_rules.withheld(
-            life, self.table.status(act.server, self._clock()), self.settings, self._clock()
+        server = self.servers.get(action.server)
+        number = len(record.attempts)
+        at_reader = server is not None and self.settings.roles[server.kind] is interface.Role.READER
+        reason = send_rules.withhold_reason(
+            record, self.table.status(action.server, self._clock()), self.settings, self._clock()
         )
-        if withheld is not None:
-            self.log("send withheld", f"{act.id} attempt {number}: {withheld}")
-            life.attempts.append(Attempt(number, act.server, reads, self._clock(), False, Ending.NOT_SENT))
-            closed = life.stage is Stage.ENDED
-            self._facts.append(
-                i.AttemptEnded(act.id, number, act.server, OUTCOMES[Ending.NOT_SENT], 0.0, closed)
+        if reason is not None:
+            self.log("send withheld", f"{action.id} attempt {number}: {reason}")
+            record.attempts.append(
+                Attempt(number, action.server, at_reader, self._clock(), False, Ending.NOT_SENT)
+            )
+            closed = record.stage is Stage.ENDED
+            self._events.append(
+                interface.AttemptEnded(
+                    action.id, number, action.server, OUTCOMES[Ending.NOT_SENT], 0.0, closed
+                )
             )
             return
-        left = life.deadline - self._clock()
-        timeout = min(act.timeout, left) if act.timeout > 0 else left
-        if not reads and send_rules.may_have_run(life):
-            # A server that hangs may take a repeat up when it goes on, and after the window it runs anew.
-            timeout = min(timeout, send_rules.repeat_window_left(life, self.settings, self._clock()))
-        if reads and life.held.possible:
-            self._releases.let_go(life)
-        attempt = Attempt(number, act.server, reads, self._clock())
-        life.attempts.append(attempt)
-        life.stage = Stage.ATTEMPT_OUT
-        expires = self._clock() + timeout
-        attempt.timer = self._deadlines.set(expires, lambda: self._timed_out(life, attempt))
-        begin_late = partial(self._begin_late, life, attempt, expires)
-        if not (reads and self._releases.read(life, attempt, begin_late)):
-            self._begin(life, attempt, expires)
-
-    def _begin_late(self, life: RequestRecord, attempt: Attempt, expires: float) -> None:
-        life.waiting = None
-        attempt.sent = self._clock()
-        if self.table.status(attempt.server, attempt.sent).withdrawn_for > 0:
-            return self.attempt_ended(life.id, attempt.number, Ending.SERVER_LEFT)
-        return self._begin(life, attempt, expires)
-
-    def _begin(self, life: RequestRecord, attempt: Attempt, expires: float) -> None:
-        """Hand an attempt to the workers' side, unless its client has left while this turn went on."""
-        if life.client.disconnected:
-            return self.client_left(life.id)
+        left = record.deadline - self._clock()
+        timeout = min(action.timeout, left) if action.timeout > 0 else left
+        if not at_reader and send_rules.may_have_run(record):
+            # A server that hangs may process a repeat when it resumes; after the deduplication window that
+            # would run the request again.
+            timeout = min(timeout, send_rules.repeat_window_left(record, self.settings, self._clock()))
+        if at_reader and record.held.possible:
+            self._releases.release(record)
+        attempt = Attempt(number, action.server, at_reader, self._clock())
+        record.attempts.append(attempt)
+        record.stage = Stage.ATTEMPT_OUT
+        expires_at = self._clock() + timeout
+        attempt.timer = self._deadlines.set(expires_at, lambda: self._timed_out(record, attempt))
+        send_delayed = partial(self._send_delayed, record, attempt, expires_at)
+        if not (at_reader and self._releases.delay_read(record, attempt, send_delayed)):
+            self._send_attempt(record, attempt, expires_at)
+
+    def _send_delayed(self, record: RequestRecord, attempt: Attempt, expires_at: float) -> None:
+        record.send_waiting = None
+        attempt.sent_at = self._clock()
+        if self.table.status(attempt.server, attempt.sent_at).withdrawn_for > 0:
+            return self.attempt_ended(record.id, attempt.number, Ending.SERVER_LEFT)
+        return self._send_attempt(record, attempt, expires_at)
+
+    def _send_attempt(self, record: RequestRecord, attempt: Attempt, expires_at: float) -> None:
+        """Send an attempt, unless its client has disconnected during this turn."""
+        if record.client.disconnected:
+            return self.client_left(record.id)
         now = self._clock()
         if self.log.detailed:
-            self.log("attempt sent", f"{life.id} {attempt}: time-out {expires - now:.3f} s")
-        begins = send_rules.connect_within(life, self.settings, now)
-        self.workers.send(life.id, attempt.number, attempt.server, life.call, expires - now, begins)
+            self.log("attempt sent", f"{record.id} {attempt}: time-out {expires_at - now:.3f} s")
+        connect_timeout = send_rules.connect_timeout(record, self.settings, now)
+        self.workers.send(
+            record.id, attempt.number, attempt.server, record.payload, expires_at - now, connect_timeout
+        )
         return None
 
-    def _refuse(self, act: i.Refuse) -> None:
-        if life := self.requests.get(act.id):
-            self._decline(life, act.retry_after)
+    def _refuse(self, action: interface.Refuse) -> None:
+        if record := self.requests.get(action.id):
+            self._decline(record, action.retry_after)
 
-    def _decline(self, life: RequestRecord, retry_after: float) -> None:
-        """Refuse, which promises that a repeat is harmless, or fail where that can't be promised."""
-        if send_rules.refusal_is_harmless(life, self.settings):
-            self.log("request refused", f"{life.id} after {len(life.attempts)} attempts: {life.reason}")
-            self._end(life, None, lambda: life.client.refuse(retry_after))
+    def _decline(self, record: RequestRecord, retry_after: float) -> None:
+        """Refuse a request if that is harmless, for it tells the client to retry; otherwise fail it."""
+        if send_rules.refusal_is_harmless(record, self.settings):
+            self.log("request refused", f"{record.id} after {len(record.attempts)} attempts: {record.reason}")
+            self._end(record, None, lambda: record.client.refuse(retry_after))
         else:
-            self._fail(i.Fail(life.id))
+            self._fail(interface.Fail(record.id))
 
-    def _fail(self, act: i.Fail) -> None:
-        if life := self.requests.get(act.id):
-            last = life.attempts[-1].ending if life.attempts else None
-            self.log("request failed", f"{life.id} after {len(life.attempts)} attempts: {life.reason}")
-            self._end(life, None, lambda: life.client.fail(last))
+    def _fail(self, action: interface.Fail) -> None:
+        if record := self.requests.get(action.id):
+            last = record.attempts[-1].ending if record.attempts else None
+            self.log("request failed", f"{record.id} after {len(record.attempts)} attempts: {record.reason}")
+            self._end(record, None, lambda: record.client.fail(last))
 
-    def _release(self, act: i.ReleaseState) -> None:
-        if life := self.requests.get(act.id):
-            self._releases.let_go(life)
+    def _release(self, action: interface.ReleaseState) -> None:
+        if record := self.requests.get(action.id):
+            self._releases.release(record)
         else:
-            self._releases.let_go_of_forgotten(act.id)
+            self._releases.release_unknown(action.id)
 
-    def _cancel(self, act: i.CancelAttempt) -> None:
-        life, attempt = self._out(act.id, act.attempt)
-        if life is not None and attempt is not None and life.stage is not Stage.STREAMING:
-            self._abort(life, attempt, Ending.CANCELED)
+    def _cancel(self, action: interface.CancelAttempt) -> None:
+        record, attempt = self._find_attempt(action.id, action.attempt)
+        if record is not None and attempt is not None and record.stage is not Stage.STREAMING:
+            self._abort(record, attempt, Ending.CANCELED)
 
-    def _move(self, act: i.MoveStream) -> None:
-        life = self.requests.get(act.id)
-        if life is None or life.stage is not Stage.STREAMING:
+    def _move(self, action: interface.MoveStream) -> None:
+        record = self.requests.get(action.id)
+        if record is None or record.stage is not Stage.STREAMING:
             return
-        if life.out is not None:  # its worker may have finished it, and the end not been read yet
-            self.workers.catch_up(life.id, life.out.number)
-        self._end(life, Ending.MOVED, lambda: life.client.abort_stream(Ending.MOVED))
+        if record.attempt_out is not None:  # the worker may have finished, with the end not read yet
+            self.workers.catch_up(record.id, record.attempt_out.number)
+        self._end(record, Ending.MOVED, lambda: record.client.abort_stream(Ending.MOVED))
 
-    def _set_timer(self, act: i.SetTimer) -> None:
+    def _set_timer(self, action: interface.SetTimer) -> None:
         self._module_timer = self._deadlines.set(
-            self._clock() + act.delay, lambda: self._facts.append(i.TimerFired(act.token))
+            self._clock() + action.delay, lambda: self._events.append(interface.TimerFired(action.token))
         )
 
-    # ---- endings ----
+    # ---- the ends of attempts and requests ----
 
-    def _out(self, request_id: str, number: int) -> tuple[RequestRecord | None, Attempt | None]:
-        life = self.requests.get(request_id)
-        attempt = life.out if life is not None else None
-        return life, attempt if attempt is not None and attempt.number == number else None
+    def _find_attempt(self, request_id: str, number: int) -> tuple[RequestRecord | None, Attempt | None]:
+        record = self.requests.get(request_id)
+        attempt = record.attempt_out if record is not None else None
+        return record, attempt if attempt is not None and attempt.number == number else None
 
-    def _timed_out(self, life: RequestRecord, attempt: Attempt) -> None:
-        if attempt.live:
-            self._abort(life, attempt, Ending.TIMED_OUT)
+    def _timed_out(self, record: RequestRecord, attempt: Attempt) -> None:
+        if attempt.is_out:
+            self._abort(record, attempt, Ending.TIMED_OUT)
 
-    def _abort(self, life: RequestRecord, attempt: Attempt, ending: Ending) -> None:
-        written = self.workers.abort(life.id, attempt.number)
+    def _abort(self, record: RequestRecord, attempt: Attempt, ending: Ending) -> None:
+        written = self.workers.abort(record.id, attempt.number)
         if ending is Ending.TIMED_OUT and not written:
             ending = Ending.UNSENT_IN_TIME
-        self.attempt_ended(life.id, attempt.number, ending)
+        self.attempt_ended(record.id, attempt.number, ending)
 
-    def _overdue(self, life: RequestRecord) -> None:
-        if life.unanswered:
-            life.reason = "overdue"
-            self.log("answer overdue", life.id)
-            self._decline(life, 0.0)
+    def _overdue(self, record: RequestRecord) -> None:
+        if record.unanswered:
+            record.reason = "no answer before its deadline"
+            self.log("answer overdue", record.id)
+            self._decline(record, 0.0)
 
-    def _finish(self, life: RequestRecord, ending: Ending) -> None:
-        """The running stream is over, by its own end."""
+    def _end_stream(self, record: RequestRecord, ending: Ending) -> None:
+        """End a request whose stream has ended."""
         if ending is Ending.SERVED:
-            self._end(life, None, life.client.finish)
+            self._end(record, None, record.client.finish)
         else:
-            self._end(life, None, lambda: life.client.abort_stream(ending))
+            self._end(record, None, lambda: record.client.abort_stream(ending))
 
     def _end(
-        self, life: RequestRecord, ending: Ending | None, answer: Callable[[], None] | None = None
+        self, record: RequestRecord, ending: Ending | None, answer: Callable[[], None] | None = None
     ) -> None:
-        """The one way out of a life: no attempt left out, at most one answer, then what is held let go."""
-        if life.stage is Stage.ENDED:
+        """End a request; every request ends here.
+
+        Its attempt is aborted, then at most one answer is given, and its state is released after that.
+        """
+        if record.stage is Stage.ENDED:
             return
-        life.stage = Stage.ENDED
-        self._stop_timers(life, life.out)
-        if life.out is not None:  # before the answer: a refusal says that nothing runs, nor will
-            self._abort(life, life.out, ending or Ending.CANCELED)
+        record.stage = Stage.ENDED
+        self._stop_timers(record, record.attempt_out)
+        if record.attempt_out is not None:  # before the answer: a refusal promises that nothing runs
+            self._abort(record, record.attempt_out, ending or Ending.CANCELED)
         if answer is not None:
             answer()
-        self._unsettled.append(life)
+        self._changed.append(record)
 
-    def _stop_timers(self, life: RequestRecord, attempt: Attempt | None) -> None:
-        for timer in life.timers:
+    def _stop_timers(self, record: RequestRecord, attempt: Attempt | None) -> None:
+        for timer in record.timers:
             self._deadlines.cancel(timer)
-        life.timers.clear()
+        record.timers.clear()
         if attempt is not None:
             self._deadlines.cancel(attempt.timer)
 
-    def _settle(self, life: RequestRecord) -> None:
-        """See to what workers may hold, and forget a request that has ended with no attempt out."""
-        if life.stage is not Stage.ENDED:
-            return self._releases.watch(life)
-        if life.out is not None:
+    def _settle(self, record: RequestRecord) -> None:
+        """Schedule the release of held state, or drop a request that has ended with no attempt out."""
+        if record.stage is not Stage.ENDED:
+            return self._releases.schedule(record)
+        if record.attempt_out is not None:
             return None
-        self._releases.end(life)
-        self.requests.pop(life.id, None)
-        if not send_rules.refusal_is_harmless(life, self.settings):
-            self._spent.add(life.id, self._clock())
+        self._releases.request_ended(record)
+        self.requests.pop(record.id, None)
+        if not send_rules.refusal_is_harmless(record, self.settings):
+            self._spent.add(record.id, self._clock())
         return None
 
-    def _held_too_long(self, life: RequestRecord) -> None:
-        self._facts.append(i.StateReleased(life.id))
+    def _state_expired(self, record: RequestRecord) -> None:
+        self._events.append(interface.StateReleased(record.id))
--- a/yewhook/core/send_rules.py
+++ b/yewhook/core/send_rules.py
@@ -1,7 +1,7 @@
-"""The rules on sending a request: whether an attempt may be made, and how soon it must be on its way.
+"""The rules on sending a request: whether an attempt may be made, and how soon it must be connected.
 
-The module decides; these rules hold whatever it decides. They are free of I/O, and times are s of the loop's
-clock.
+`hopshed` decides where to send a request; these rules hold whatever it decides. They do no I/O, and times are
+seconds of the loop's clock.
 """
 
 from __future__ import annotations
@@ -15,85 +15,89 @@
 from .request_records import Attempt, RequestRecord, Stage
 from .server_table import ServerStatus
 
-MIN_CONNECT_TIME = 0.05  # s that a connection has to come up, however short the times of the settings are
+MIN_CONNECT_TIMEOUT_S = 0.05  # however short the times in the settings are
 
 
-class Withheld(StrEnum):
-    """Why an attempt is not made."""
+class WithholdReason(StrEnum):
+    """Why an attempt is not made, as written to the log."""
 
-    NOT_ACCEPTED_YET = "the request is accepted"
-    STREAMING = "the request is streaming"
-    ENDED = "the request is ended"
-    ATTEMPT_OUT = "an attempt is out"
-    NO_ATTEMPTS_LEFT = "no attempts left"
-    DEADLINE_PASSED = "its time has run out"
-    UNKNOWN_SERVER = "a server that no list has named"
-    SERVER_DRAINS = "the server drains or is gone"
-    MAY_HAVE_RUN = "it may have run already"
-    REPEAT_WINDOW_OVER = "its window for repeats is over"
+    NOT_ACCEPTED_YET = "the request has not been passed to the decision module yet"
+    STREAMING = "the response has already begun"
+    ENDED = "the request has ended"
+    ATTEMPT_OUT = "another attempt is out"
+    NO_ATTEMPTS_LEFT = "the maximum number of attempts has been made"
+    DEADLINE_PASSED = "the deadline of the request has passed"
+    UNKNOWN_SERVER = "the server is not in the server list"
+    SERVER_DRAINS = "the server is draining or gone"
+    MAY_HAVE_RUN = "the request is unsafe to repeat and may have run"
+    REPEAT_WINDOW_OVER = "the deduplication window has passed"
 
 
-STAGES = {
-    Stage.ACCEPTED: Withheld.NOT_ACCEPTED_YET,
-    Stage.ATTEMPT_OUT: Withheld.ATTEMPT_OUT,
-    Stage.STREAMING: Withheld.STREAMING,
-    Stage.ENDED: Withheld.ENDED,
+REASON_BY_STAGE = {
+    Stage.ACCEPTED: WithholdReason.NOT_ACCEPTED_YET,
+    Stage.ATTEMPT_OUT: WithholdReason.ATTEMPT_OUT,
+    Stage.STREAMING: WithholdReason.STREAMING,
+    Stage.ENDED: WithholdReason.ENDED,
 }
 
 
-def withheld(life: RequestRecord, server: ServerStatus, settings: Settings, now: float) -> Withheld | None:
-    """Why a request may not be sent to a server now; None where it may."""
-    if life.stage is not Stage.DECIDING:
-        return STAGES[life.stage]
-    if life.out is not None:
-        return Withheld.ATTEMPT_OUT
-    if len(life.attempts) >= settings.max_attempts:
-        return Withheld.NO_ATTEMPTS_LEFT
-    if now >= life.deadline:
-        return Withheld.DEADLINE_PASSED
+def withhold_reason(
+    record: RequestRecord, server: ServerStatus, settings: Settings, now: float
+) -> WithholdReason | None:
+    """Why the request may not be sent to the server now; None if it may."""
+    if record.stage is not Stage.DECIDING:
+        return REASON_BY_STAGE[record.stage]
+    if record.attempt_out is not None:
+        return WithholdReason.ATTEMPT_OUT
+    if len(record.attempts) >= settings.max_attempts:
+        return WithholdReason.NO_ATTEMPTS_LEFT
+    if now >= record.deadline:
+        return WithholdReason.DEADLINE_PASSED
     if not server.known:
-        return Withheld.UNKNOWN_SERVER
+        return WithholdReason.UNKNOWN_SERVER
     if server.withdrawn_for > settings.drain_grace:
-        return Withheld.SERVER_DRAINS
-    if not may_have_run(life):
+        return WithholdReason.SERVER_DRAINS
+    if not may_have_run(record):
         return None
-    if life.effect is Effect.UNSAFE:
-        return Withheld.MAY_HAVE_RUN
-    return Withheld.REPEAT_WINDOW_OVER if repeat_window_left(life, settings, now) <= 0 else None
+    if record.effect is Effect.UNSAFE:
+        return WithholdReason.MAY_HAVE_RUN
+    return WithholdReason.REPEAT_WINDOW_OVER if repeat_window_left(record, settings, now) <= 0 else None
 
 
-def connect_within(life: RequestRecord, settings: Settings, now: float) -> float:
-    """s in which an attempt must be on its way, however long a connection may take to come up.
+def connect_timeout(record: RequestRecord, settings: Settings, now: float) -> float:
+    """Seconds within which the first byte of an attempt must be written, whatever its timeout is.
 
-    A server told to drain meanwhile gets nothing later, a repeat after its window runs anew, and the time in
-    which a state may be held goes on.
+    After that, its server may have been draining for too long, a repeat may fall out of the deduplication
+    window and run again, or the time limit of held state may have run out.
     """
-    held = max(MIN_CONNECT_TIME, life.held.release_at - now)
-    within = min(held, max(MIN_CONNECT_TIME, settings.drain_grace))
-    return min(within, repeat_window_left(life, settings, now)) if may_have_run(life) else within
+    until_release = max(MIN_CONNECT_TIMEOUT_S, record.held.release_at - now)
+    timeout = min(until_release, max(MIN_CONNECT_TIMEOUT_S, settings.drain_grace))
+    return min(timeout, repeat_window_left(record, settings, now)) if may_have_run(record) else timeout
 
 
-def refusal_is_harmless(life: RequestRecord, settings: Settings) -> bool:
-    """Whether a refusal, which promises that a repeat is harmless, may be given."""
-    cls = settings.classes[life.arrived.cls]
-    repeatable = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
-    return repeatable or not may_have_run(life)
+def refusal_is_harmless(record: RequestRecord, settings: Settings) -> bool:
+    """Whether the request may be refused, which tells the client that it may safely retry."""
+    request_class = settings.classes[record.arrived.cls]
+    repeatable = request_class.effect is Effect.SAFE or (
+        request_class.effect is Effect.KEYED and request_class.group is Group.ALL
+    )
+    return repeatable or not may_have_run(record)
 
 
-def may_have_run(life: RequestRecord) -> bool:
-    """Whether an attempt of it may have had an effect."""
-    return any(_may_have_run(attempt) for attempt in life.attempts)
+def may_have_run(record: RequestRecord) -> bool:
+    """Whether any attempt of the request may have had an effect."""
+    return any(_attempt_may_have_run(attempt) for attempt in record.attempts)
 
 
-def repeat_window_left(life: RequestRecord, settings: Settings, now: float) -> float:
-    """s in which a request that may have run may go out again; infinity where no window is set."""
-    if life.effect is not Effect.KEYED:
+def repeat_window_left(record: RequestRecord, settings: Settings, now: float) -> float:
+    """Seconds in which a request that may have run may still be repeated; infinity if it is not keyed."""
+    if record.effect is not Effect.KEYED:
         return math.inf
-    first = min(attempt.sent for attempt in life.attempts if _may_have_run(attempt))
-    return first + settings.classes[life.arrived.cls].dedup_window - now
+    first = min(attempt.sent_at for attempt in record.attempts if _attempt_may_have_run(attempt))
+    return first + settings.classes[record.arrived.cls].dedup_window - now
 
 
-def _may_have_run(attempt: Attempt) -> bool:
-    """An attempt at a reader has no effect; any other may have run unless its ending rules that out."""
-    never = attempt.ending is not None and OUTCOMES[attempt.ending].never_ran
-    return not attempt.reads and not never
+def _attempt_may_have_run(attempt: Attempt) -> bool:
+    """Reads have no effect; any other attempt may have run unless its ending rules that out."""
+    never_ran = attempt.ending is not None and OUTCOMES[attempt.ending].never_ran
+    return not attempt.at_reader and not never_ran
--- a/yewhook/core/server_table.py
+++ b/yewhook/core/server_table.py
@@ -1,4 +1,4 @@
-"""The servers that discovery has named, and since when each is told to take nothing new."""
+"""The servers named by discovery, and since when each has been draining or gone."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStatus:
-    """What the list says of a server."""
+    """What the table says of one server."""
 
     known: bool
-    withdrawn_for: float  # s since it was told to drain or be gone; 0 where it runs
+    withdrawn_for: float  # seconds since it began to drain or was removed; 0 while it is running
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What a list has changed."""
+    """The servers affected by an update."""
 
-    withdrawn: frozenset[int]  # told to drain or be gone just now
+    withdrawn: frozenset[int]  # newly draining or gone
     gone: tuple[int, ...]  # to be forgotten after `FORGET_AFTER`
 
 
 class ServerTable:
-    """All servers by number. Times are s of the loop's clock."""
+    """All servers by number. Times are seconds of the loop's clock."""
 
     def __init__(self) -> None:
         self.servers: dict[int, Server] = {}
-        self.withdrawn_since: dict[int, float] = {}  # server -> since when it is told to drain or be gone
+        self.withdrawn_since: dict[int, float] = {}  # server -> when it began to drain or was removed
 
     def update(self, kind: ListKind, servers: tuple[Server, ...], now: float) -> Changes:
-        """Take in a list, or changes to it; what a whole list does not name is gone."""
+        """Apply a whole list or a list of changes; servers missing from a whole list are gone."""
         named = {server.id: server for server in servers}
         if kind is not ListKind.CHANGES:
             missing = (server for number, server in self.servers.items() if number not in named)
@@ -51,26 +51,29 @@
         return Changes(frozenset(withdrawn), tuple(gone))
 
     def resume(self, since: Mapping[int, float]) -> None:
-        """Take over since when servers that are told off here, too, have been so at a predecessor."""
+        """Adopt a predecessor's times for servers that are draining or gone in this table, too."""
         self.withdrawn_since.update(
             (number, at) for number, at in since.items() if number in self.withdrawn_since
         )
 
     def forget(self, number: int, now: float) -> bool:
-        """Let go of a server that has been gone for long; whether it was. Ids never come to an end."""
+        """Drop a server that has been gone for `FORGET_AFTER`; returns whether it was dropped.
+
+        New server ids keep coming, so a table that never dropped any would grow without bound.
+        """
         server = self.servers.get(number)
         if server is None or server.state is not ServerState.GONE:
             return False
         if now - self.withdrawn_since[number] < FORGET_AFTER / 2:
-            return False  # it came back meanwhile and is gone again, with a later time of its own
+            return False  # it came back and is gone again: a later call will drop it
         del self.servers[number]
         self.withdrawn_since.pop(number, None)
         return True
 
     def status(self, number: int, now: float) -> ServerStatus:
-        """What is known of a server."""
+        """The status of a server, known or not."""
         return ServerStatus(number in self.servers, now - self.withdrawn_since.get(number, now))
 
     def present(self) -> tuple[Server, ...]:
-        """Those that are not gone."""
+        """The servers that are not gone."""
         return tuple(server for server in self.servers.values() if server.state is not ServerState.GONE)
--- a/yewhook/core/state_releases.py
+++ b/yewhook/core/state_releases.py
@@ -1,8 +1,8 @@
-"""Lets go of what workers hold for requests, in time, and keeps reads back until that is done.
+"""Releases the state that workers hold for requests in time, and delays reads until that is done.
 
-`held_state.py` says when something has to be let go, `release_call.py` whom to tell; here stand the timers
-between them. A release undoes a read that is under way, so a read of a request with unconfirmed releases
-waits for them, but not for long.
+`held_state.py` computes when state has to be released, and `release_call.py` which workers to call; this
+module sets the timers. A release discards a read that is in progress, so a read of a request with unconfirmed
+releases waits for them, up to `MAX_READ_DELAY_S`.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from ..deadlines import Deadlines
 from ..log import Log
-from .ending import GIVEN_UP
+from .ending import CLOSED_BY_ROUTER
 from .ports import Workers
 from .request_records import Attempt, RequestRecord
 
-# s after an attempt was given up until a release is sent: the worker has seen the close by then, and a read
-# that ended at the same moment has left its state.
-CLOSE_SEEN = 0.02
-MIN_RELEASE_TIME = 0.15  # s that a release has to find a worker that lives, within the slack of the rule
-RELEASE_FIRST = 0.25  # s that a read waits at most until what earlier attempts may have left is let go
+# Delay from closing an attempt's connection until the release: by then the worker has seen the close, and a
+# read that completed at the same moment has left its state.
+CLOSE_DETECTION_S = 0.02
+MIN_RELEASE_TIME_S = 0.15  # to find a worker that responds; within the tolerance of the limit on held state
+MAX_READ_DELAY_S = 0.25  # for which a read waits until earlier state has been released
 
 
 class StateReleases:
@@ -33,67 +33,70 @@
         workers: Workers,
         log: Log,
         limit: float,
-        expired: Callable[[RequestRecord], None],
+        on_expired: Callable[[RequestRecord], None],
     ) -> None:
-        """`limit` = s for which a state may be held; `expired` hears of a request whose state is let go
-        because its time is over."""
+        """Create the releases of one router.
+
+        `limit` is the time in seconds for which state may be held; `on_expired` is called with a request
+        whose state is released because that time has run out.
+        """
         self._deadlines, self._clock = deadlines, clock
         self._workers, self.log = workers, log
-        self._limit, self._expired = limit, expired
+        self._limit, self._on_expired = limit, on_expired
 
-    def watch(self, life: RequestRecord) -> None:
-        """Come back when what may be held has to be let go, whether an attempt is out by then or not."""
-        at = life.held.release_at
-        if life.let_go is not None and life.let_go.at == at:
+    def schedule(self, record: RequestRecord) -> None:
+        """Set the timer that releases what may be held for the request, even if an attempt is out by then."""
+        at = record.held.release_at
+        if record.release_timer is not None and record.release_timer.at == at:
             return
-        self._deadlines.cancel(life.let_go)
-        life.let_go = None
-        if life.held.possible:
-            life.let_go = self._deadlines.set(at, lambda: self._held_too_long(life))
-
-    def _held_too_long(self, life: RequestRecord) -> None:
-        life.let_go = None
-        self._expired(life)
-        self.let_go(life)
-
-    def let_go(self, life: RequestRecord) -> None:
-        """Tell workers to let go of all that they hold for the request."""
+        self._deadlines.cancel(record.release_timer)
+        record.release_timer = None
+        if record.held.possible:
+            record.release_timer = self._deadlines.set(at, lambda: self._expired(record))
+
+    def _expired(self, record: RequestRecord) -> None:
+        record.release_timer = None
+        self._on_expired(record)
+        self.release(record)
+
+    def release(self, record: RequestRecord) -> None:
+        """Tell workers to release all state that they hold for the request."""
         now = self._clock()
-        due = life.held.due if life.held.possible else now + self._limit
-        due = max(due, now + MIN_RELEASE_TIME)
-        life.held.let_go(life.out is not None)
-        self.watch(life)
-        last = life.attempts[-1].ending if life.attempts else None
-        begin_at = now + CLOSE_SEEN if last in GIVEN_UP else now
+        due = record.held.due if record.held.possible else now + self._limit
+        due = max(due, now + MIN_RELEASE_TIME_S)
+        record.held.mark_released(record.attempt_out is not None)
+        self.schedule(record)
+        last_ending = record.attempts[-1].ending if record.attempts else None
+        begin_at = now + CLOSE_DETECTION_S if last_ending in CLOSED_BY_ROUTER else now
         if self.log.detailed:
-            self.log("state let go", f"{life.id} {life.stage.name.lower()}, due in {due - now:.3f} s")
-        life.releases += 1
-        self._workers.release(life.id, begin_at, due, partial(self._confirmed, life))
+            self.log("state let go", f"{record.id} {record.stage.name.lower()}, due in {due - now:.3f} s")
+        record.open_releases += 1
+        self._workers.release(record.id, begin_at, due, partial(self._done, record))
 
-    def let_go_of_forgotten(self, request_id: str) -> None:
-        """The same of a request that this router has forgotten."""
+    def release_unknown(self, request_id: str) -> None:
+        """Release the state of a request of which this router has no record any more."""
         now = self._clock()
         self._workers.release(request_id, now, now + self._limit, lambda: None)
 
-    def end(self, life: RequestRecord) -> None:
-        """The request is over, and no attempt of it is out."""
-        self._deadlines.cancel(life.let_go)
-        if life.held.possible:
-            self.let_go(life)
+    def request_ended(self, record: RequestRecord) -> None:
+        """Release the state of a request that has ended and has no attempt out."""
+        self._deadlines.cancel(record.release_timer)
+        if record.held.possible:
+            self.release(record)
 
-    def read(self, life: RequestRecord, attempt: Attempt, begin: Callable[[], None]) -> bool:
-        """Keep a read back until earlier attempts' states are let go; whether `begin` will be called."""
-        if not life.releases:
+    def delay_read(self, record: RequestRecord, attempt: Attempt, send: Callable[[], None]) -> bool:
+        """Delay a read until the open releases are done; returns whether `send` will be called later."""
+        if not record.open_releases:
             return False
-        life.waiting = begin
-        self._deadlines.set(self._clock() + RELEASE_FIRST, partial(self._wait_no_longer, life, attempt))
+        record.send_waiting = send
+        self._deadlines.set(self._clock() + MAX_READ_DELAY_S, partial(self._stop_waiting, record, attempt))
         return True
 
-    def _wait_no_longer(self, life: RequestRecord, attempt: Attempt) -> None:
-        if attempt.live and life.waiting is not None:
-            life.waiting()
+    def _stop_waiting(self, record: RequestRecord, attempt: Attempt) -> None:
+        if attempt.is_out and record.send_waiting is not None:
+            record.send_waiting()
 
-    def _confirmed(self, life: RequestRecord) -> None:
-        life.releases -= 1
-        if not life.releases and life.waiting is not None:
-            life.waiting()
+    def _done(self, record: RequestRecord) -> None:
+        record.open_releases -= 1
+        if not record.open_releases and record.send_waiting is not None:
+            record.send_waiting()
