--- a/tests/settings.py
+++ b/tests/settings.py
@@ -1,4 +1,4 @@
-"""Settings as a router is told them, for the tests."""
+"""The settings of the tests, in the form in which a router receives them."""
 
 from typing import Any
 
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -1,4 +1,4 @@
-"""Held state on real connections: what workers hold is let go in time though most of a role is silent."""
+"""Held state on real connections: it is released in time even if most workers of a role do not respond."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from yewhook.config import ConfigError, parse_settings
 
 WRITERS = ("writer", "w2", "w3", "w4")
-LIMIT = 1.0  # s for which a state may be held, in the settings of the tests
-SLACK = 0.3
+LIMIT_S = 1.0  # for which state may be held, in the settings of the tests
+SLACK_S = 0.3
 
 
-class Deaf:
-    """A listener to which no connection comes up: its queue in the kernel is full, as if it were cut off."""
+class UnreachableListener:
+    """A listener whose accept queue in the kernel is full: connections to it hang, as if it were cut off."""
 
     def __init__(self, party: FakePeer) -> None:
         assert party.listener is not None
@@ -43,16 +43,19 @@
     played.end()
 
 
-def told(p: Platform, what: str, within: float) -> bool:
-    """Whether the reader has been told so within so many s of the router's clock."""
+def reader_receives(p: Platform, text: str, within: float) -> bool:
+    """Whether the reader receives the text within so many seconds of the router's clock."""
     end = p.clock.now + within
-    while what not in p.parties["reader"].heard and p.clock.now < end:
+    while text not in p.parties["reader"].heard and p.clock.now < end:
         p.wait(0.01)
-    return what in p.parties["reader"].heard
+    return text in p.parties["reader"].heard
 
 
-def hold(p: Platform, seconds: float) -> float:
-    """A read ends while all writers are told to drain; so many s later they run again. When it ended."""
+def hold_state(p: Platform, seconds: float) -> float:
+    """End a read while all writers drain, and let them run again so many seconds later.
+
+    Returns when the read ended.
+    """
     p.play("discovery send watch")
     generation = 2
     for name in WRITERS:
@@ -71,23 +74,23 @@
 
 
 def test_a_state_is_let_go_in_time_though_no_writer_can_be_connected_to(p: Platform) -> None:
-    # READ, 0.5 s without a writer, then connections that never come up, 0.25 s each: the time ran on.
-    deaf = [Deaf(p.parties[name]) for name in WRITERS]
-    ended = hold(p, 0.45)
-    assert told(p, "DELETE /internal/reservations/r1", LIMIT + SLACK)
-    assert p.clock.now - ended <= LIMIT
-    for one in deaf:
-        one.close()
+    # Failed connection attempts, 0.25 s each after 0.5 s without a writer, used to stop the time limit.
+    unreachable = [UnreachableListener(p.parties[name]) for name in WRITERS]
+    ended = hold_state(p, 0.45)
+    assert reader_receives(p, "DELETE /internal/reservations/r1", LIMIT_S + SLACK_S)
+    assert p.clock.now - ended <= LIMIT_S
+    for listener in unreachable:
+        listener.close()
 
 
 def test_a_silent_worker_that_was_heard_last_does_not_keep_a_release(p: Platform) -> None:
-    # Every writer takes the call and says nothing; each had been asked first, one after another.
+    # Every writer accepts the call and does not answer. Writers used to be called first, one after another.
     p.play("client send ask\nreader expect POST\nreader send read")
-    p.until(lambda: any(p.parties[name].heard for name in WRITERS), "a writer has been asked")
+    p.until(lambda: any(p.parties[name].heard for name in WRITERS), "a writer has been called")
     p.play("client close")
     left = p.clock.now
-    assert told(p, "DELETE /internal/reservations/r1", LIMIT + SLACK)
-    assert p.clock.now - left <= LIMIT / 2
+    assert reader_receives(p, "DELETE /internal/reservations/r1", LIMIT_S + SLACK_S)
+    assert p.clock.now - left <= LIMIT_S / 2
     p.play("reader send status status=204")
     p.until(lambda: not p.front.releases.busy, "let go")
 
@@ -95,9 +98,9 @@
 @pytest.mark.parametrize("status", ["404", "500", "200"])
 def test_an_answer_to_a_release_is_taken_for_what_it_is(p: Platform, status: str) -> None:
     p.play("client send ask\nreader expect POST\nclient close")
-    asked = [name for name in p.parties if name != "reader"]
-    p.until(lambda: any("DELETE" in p.parties[name].heard for name in asked), "a release")
-    first = next(name for name in asked if "DELETE" in p.parties[name].heard)
+    others = [name for name in p.parties if name != "reader"]
+    p.until(lambda: any("DELETE" in p.parties[name].heard for name in others), "a release")
+    first = next(name for name in others if "DELETE" in p.parties[name].heard)
     p.play(f"{first} send status status={status}")
     if status == "200":
         p.until(lambda: not p.front.releases.busy, "confirmed")
@@ -107,9 +110,9 @@
 
 def test_a_garbled_answer_to_a_release_confirms_nothing(p: Platform) -> None:
     p.play("client send ask\nreader expect POST\nclient close")
-    asked = [name for name in p.parties if name != "reader"]
-    p.until(lambda: any("DELETE" in p.parties[name].heard for name in asked), "a release")
-    first = next(name for name in asked if "DELETE" in p.parties[name].heard)
+    others = [name for name in p.parties if name != "reader"]
+    p.until(lambda: any("DELETE" in p.parties[name].heard for name in others), "a release")
+    first = next(name for name in others if "DELETE" in p.parties[name].heard)
     p.play(f"{first} send raw text=nonsense")
     p.until(lambda: sum("DELETE" in p.parties[name].heard for name in p.parties) > 1, "another worker")
     assert p.front.releases.busy
@@ -123,13 +126,13 @@
     assert [c.address for c in p.front._release_candidates()] == [p.parties["writer"].address]
 
 
-def test_the_time_left_is_told_as_the_bytes_leave(p: Platform) -> None:
-    # It was told as of the decision: up to a whole connect time more than the client had left.
+def test_the_remaining_time_is_that_when_the_request_is_written(p: Platform) -> None:
+    # The remaining time used to be that of the decision: up to a whole connect timeout too long.
     p.play("client send ask left=5000m")
     while not any(record.attempt_out for record in p.front.router.requests.values()):
         p.service.loop.run_turn(0.01)
     decided = p.clock.now
-    p.clock.now += 0.2  # the connection takes so long to come up
+    p.clock.now += 0.2  # the time to connect
     p.play("reader expect X-Remaining: ")
     remaining = int(p.parties["reader"].text.partition("u\r\n")[0]) / 1e6
     record = next(iter(p.front.router.requests.values()))
@@ -137,12 +140,12 @@
     assert remaining <= record.attempt_out.timer.at - decided - 0.2 + 0.001
 
 
-@pytest.mark.parametrize("told", [0, -5, "soon", True, float("inf"), float("nan"), [1000]])
-def test_a_senseless_time_to_let_go_is_refused_by_key_value_and_expectation(told: object) -> None:
+@pytest.mark.parametrize("value", [0, -5, "soon", True, float("inf"), float("nan"), [1000]])
+def test_a_senseless_time_to_let_go_is_refused_by_key_value_and_expectation(value: object) -> None:
     with pytest.raises(ConfigError) as refused:
-        parse_settings(ENV | {"extra": ENV["extra"] | {"let-go-by-ms": told}})
+        parse_settings(ENV | {"extra": ENV["extra"] | {"let-go-by-ms": value}})
     text = str(refused.value)
-    assert "extra.let-go-by-ms" in text and repr(told) in text and "milliseconds over 0" in text
+    assert "extra.let-go-by-ms" in text and repr(value) in text and "milliseconds over 0" in text
 
 
 @pytest.mark.parametrize("extra", [{}, {"let-go-by-ms": None}])
--- a/yewhook/releases.py
+++ b/yewhook/releases.py
@@ -1,4 +1,4 @@
-"""Makes the calls that let go of what workers hold; `core/release_call.py` decides whom to ask, and when."""
+"""Makes the calls that release held state; `core/release_call.py` decides which workers to call, and when."""
 
 from __future__ import annotations
 
@@ -9,46 +9,47 @@
 from .core.release_call import Plan, Ranking, ReleaseCall, Result
 from .loop import Loop, Timer
 
-MAX_CALLS = 32  # open at once, of all releases together; each release may have one, however many there are
+MAX_OPEN_CALLS = 32  # of all releases together; each release may have one call even beyond this
 
-DoneCallback = Callable[[bool], None]
-# Asks one worker to let go of all that is held for a request; returns what gives the call up. Raises OSError.
+DoneCallback = Callable[[bool], None]  # called at the end of a call with whether the worker confirmed it
+# Calls one worker to release all state held for a request; returns a function that closes the call. Raises
+# OSError.
 ReleaseSender = Callable[[Address, str, DoneCallback], Callable[[], None]]
 
 
 class _Release:
-    """The calls of one release that are open, and its timer."""
+    """One release: its open calls and its timer."""
 
     def __init__(
         self, releases: Releases, request_id: str, begin_at: float, due: float, done: Callable[[], None]
     ) -> None:
         self._releases, self._request_id, self._done = releases, request_id, done
         self._state = ReleaseCall(begin_at, due)
-        self._give_up: dict[Address, Callable[[], None]] = {}
+        self._close_functions: dict[Address, Callable[[], None]] = {}
         self._timer = Timer(releases.loop)
 
     @property
-    def calls(self) -> int:
-        """How many of its calls are open."""
-        return len(self._give_up)
+    def open_calls(self) -> int:
+        """The number of its open calls."""
+        return len(self._close_functions)
 
     @property
     def late(self) -> bool:
-        """Whether its time is over."""
+        """Whether it is overdue."""
         return self._state.late
 
     def advance(self) -> None:
-        """Do what is to be done at this time."""
+        """Make and close the calls that are due now."""
         releases = self._releases
-        plan = self._state.advance(releases.candidates(), releases.loop.now, releases.room)
+        plan = self._state.advance(releases.ranking(), releases.loop.now, releases.free_calls)
         if plan.missed_due:
-            releases.loop.log("release late", f"{self._request_id} after {self._state.asked} calls")
+            releases.loop.log("release late", f"{self._request_id} after {self._state.calls_made} calls")
         self._carry_out(plan)
 
     def _carry_out(self, plan: Plan) -> None:
-        for address in plan.give_up:
+        for address in plan.close:
             self._close(address)
-        for address in plan.ask:
+        for address in plan.call:
             self._call(address)
         if plan.result is not None:
             return self._end(plan.result)
@@ -59,50 +60,51 @@
     def _call(self, address: Address) -> None:
         releases = self._releases
         try:
-            give_up = releases.ask(address, self._request_id, partial(self._answered, address))
+            close = releases.send(address, self._request_id, partial(self._call_ended, address))
         except OSError:
-            releases.loop.after(0.0, partial(self._answered, address, False))
+            releases.loop.after(0.0, partial(self._call_ended, address, False))
         else:
-            self._give_up[address] = give_up
+            self._close_functions[address] = close
 
-    def _answered(self, address: Address, confirmed: bool) -> None:
-        self._give_up.pop(address, None)
-        plan = self._state.answered(address, confirmed, self._releases.loop.now)
+    def _call_ended(self, address: Address, confirmed: bool) -> None:
+        self._close_functions.pop(address, None)
+        plan = self._state.call_ended(address, confirmed, self._releases.loop.now)
         if plan is not None:
             self._carry_out(plan)
 
     def wake(self, at: float) -> None:
-        """Come back at a time of the loop's clock."""
+        """Set the timer for the next `advance` to a time in seconds of the loop's clock."""
         self._timer.set(max(0.0, at - self._releases.loop.now), self.advance)
 
     def _close(self, address: Address) -> None:
-        if (give_up := self._give_up.pop(address, None)) is not None:
-            give_up()
+        if (close := self._close_functions.pop(address, None)) is not None:
+            close()
 
     def _end(self, result: Result) -> None:
         self._timer.cancel()
-        for address in list(self._give_up):
+        for address in list(self._close_functions):
             self._close(address)
         log = self._releases.loop.log
         if result is Result.ABANDONED:
-            log("release not confirmed", f"{self._request_id} after {self._state.asked} calls")
+            log("release not confirmed", f"{self._request_id} after {self._state.calls_made} calls")
         elif log.detailed:
-            log("release confirmed", f"{self._request_id} after {self._state.asked} calls")
-        self._releases.ended(self)
+            log("release confirmed", f"{self._request_id} after {self._state.calls_made} calls")
+        self._releases.remove(self)
         self._done()
 
 
 class Releases:
-    """All releases of a front that no worker has confirmed yet."""
+    """All releases of a front that are neither confirmed nor abandoned yet."""
 
-    def __init__(self, loop: Loop, ask: ReleaseSender, candidates: Callable[[], Ranking]) -> None:
-        self.loop, self.ask, self.candidates = loop, ask, candidates
+    def __init__(self, loop: Loop, send: ReleaseSender, ranking: Callable[[], Ranking]) -> None:
+        """`send` makes one call; `ranking` returns the workers that may be called now."""
+        self.loop, self.send, self.ranking = loop, send, ranking
         self._open: set[_Release] = set()
 
     @property
-    def room(self) -> int:
-        """How many more calls may be begun at once."""
-        return MAX_CALLS - sum(release.calls for release in self._open)
+    def free_calls(self) -> int:
+        """How many more calls may be open at once; negative if `MAX_OPEN_CALLS` is exceeded."""
+        return MAX_OPEN_CALLS - sum(release.open_calls for release in self._open)
 
     @property
     def busy(self) -> bool:
@@ -110,16 +112,18 @@
         return any(not release.late for release in self._open)
 
     def release(self, request_id: str, begin_at: float, due: float, done: Callable[[], None]) -> None:
-        """Let go of all that is held for a request, from `begin_at` on and by `due` (the loop's clock).
+        """Release all state held for a request; times are seconds of the loop's clock.
 
-        `done` is called at the end, confirmed or not."""
+        Workers are called from `begin_at` on, and one should be told by `due`. `done` is called at the end,
+        whether the release was confirmed or abandoned.
+        """
         release = _Release(self, request_id, begin_at, due, done)
         self._open.add(release)
-        if begin_at > self.loop.now:  # whom to ask is looked up when it begins
+        if begin_at > self.loop.now:  # the workers are ranked only when it begins
             release.wake(begin_at)
         else:
             release.advance()
 
-    def ended(self, release: _Release) -> None:
-        """It is confirmed, or nothing can be held any more."""
+    def remove(self, release: _Release) -> None:
+        """Drop a release that was confirmed or abandoned."""
         self._open.discard(release)
