--- a/yewhook/throttle.py
+++ b/yewhook/throttle.py
@@ -1,4 +1,4 @@
-"""Runs a call at once when it is asked for, but no more often than the call itself says."""
+"""Limits how often a function runs; the function itself returns how long to pause after each run."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 
 class Throttle:
-    """What is asked for during the pause after a run is done once, at the end of the pause."""
+    """Runs a function when triggered; triggers during the pause after a run cause one run at its end."""
 
     def __init__(self, loop: Loop, call: Callable[[], float]) -> None:
-        """`call` returns the s that have to pass until it may run again; 0 = it may at once."""
+        """`call` returns the pause in seconds before it may run again; 0 = none."""
         self._call, self._pause = call, Timer(loop)
-        self._asked = False
+        self._triggered = False
 
     def trigger(self) -> None:
         """Run now, or at the end of the pause."""
         if self._pause.running:
-            self._asked = True
+            self._triggered = True
         else:
             self._run()
 
     def _run(self) -> None:
-        self._asked = False
+        self._triggered = False
         pause = self._call()
         if pause > 0:
-            self._pause.set(pause, self._over)
+            self._pause.set(pause, self._pause_ended)
 
-    def _over(self) -> None:
-        if self._asked:
+    def _pause_ended(self) -> None:
+        if self._triggered:
             self._run()
