--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -63,7 +63,8 @@
         generation += 1
     p.play("wait 0.05\nclient send ask\nreader expect POST\nreader send read")
     p.until(
-        lambda: any(record.held.possible for record in p.front.router.requests.values()), "the read has ended"
+        lambda: any(record.held.may_exist for record in p.front.router.requests.values()),
+        "the read has ended",
     )
     ended = p.clock.now
     p.wait(seconds)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -154,9 +154,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
-def test_a_list_of_3200_workers_over_many_lines_is_taken_as_one_on_one_line(
-    p: Platform, indent: int | None
-) -> None:
+def test_an_indented_list_of_3200_workers_is_parsed_in_bounded_time(p: Platform, indent: int | None) -> None:
     # Each line of an indented list used to be appended by copying all lines before it.
     p.play("discovery send watch")
     many = [entry | {"instanceId": f"l-{n}-{k}"} for n in range(4) for k, entry in enumerate(LISTED)][:3200]
--- a/yewhook/core/ending.py
+++ b/yewhook/core/ending.py
@@ -14,8 +14,8 @@
     READ = auto()  # a reader has processed the prompt and holds its state
     ERROR = auto()  # the worker answered with an error
     GARBLED = auto()  # the response violates the protocol
-    TURNED_AWAY = auto()  # rejected by the worker before it ran: full, draining or overloaded
-    STATE_GONE = auto()  # rejected by a writer: there is no held state to fetch
+    TURNED_AWAY = auto()  # rejected before it ran: the worker is full or drains, or the time is over
+    STATE_GONE = auto()  # rejected before it ran: there is no held state to fetch
     CONNECT_REFUSED = auto()  # connecting failed: refused, reset or no route to the host
     CONNECT_SILENT = auto()  # connecting timed out
     NO_SOCKET = auto()  # not connected: this router has reached its socket limit
--- a/yewhook/core/held_state.py
+++ b/yewhook/core/held_state.py
@@ -33,7 +33,7 @@
     _released_while_out: bool = False  # released while an attempt was out, which may have kept the state
 
     @property
-    def possible(self) -> bool:
+    def may_exist(self) -> bool:
         """Whether a worker may hold state that no attempt waits for."""
         return self.since is not None
 
@@ -53,14 +53,14 @@
         left_by_read = at_reader and outcome in MAY_LEAVE_STATE
         if outcome in NOT_DELIVERED:
             return
-        if released_while_out or (outcome in ANSWERED_BY_WORKER and (self.possible or left_by_read)):
+        if released_while_out or (outcome in ANSWERED_BY_WORKER and (self.may_exist or left_by_read)):
             self.since = now
-        elif left_by_read and not self.possible:
+        elif left_by_read and not self.may_exist:
             self.since = sent_at  # the answer may be lost, and the state may exist since any time after that
 
     def mark_released(self, attempt_out: bool) -> None:
         """Workers are being told to release the state; `attempt_out` = while an attempt is out."""
-        self._released_while_out = attempt_out and (self.possible or self._released_while_out)
+        self._released_while_out = attempt_out and (self.may_exist or self._released_while_out)
         self.since = None
 
     def mark_fetched(self) -> None:
--- a/yewhook/core/release_call.py
+++ b/yewhook/core/release_call.py
@@ -147,7 +147,10 @@
         return Plan(tuple(close), tuple(call), self._next_call_at, missed_due)
 
     def _expired_call(self, ranking: Ranking, now: float) -> list[tuple[str, int]]:
-        """The oldest call, to be repeated on a new connection, if all workers are being called for long."""
+        """The oldest call, if all workers are being called and it has taken too long.
+
+        Its worker can then be called again on a new connection.
+        """
         all_called = all(candidate.address in self.open_calls for candidate in ranking.candidates)
         if (
             not self.open_calls
@@ -177,7 +180,7 @@
         chosen: list[tuple[str, int]] = []
         while len(chosen) < count:
             best = ranking.best(self.tried.keys() | self.open_calls.keys(), set(self.tried.values()))
-            if best is None and not chosen and self.tried:  # all have been called in vain: begin a new round
+            if best is None and not chosen and self.tried:  # all have been called: begin a new round
                 self.tried.clear()
                 best = ranking.best(self.open_calls.keys(), set())
             if best is None:
--- a/yewhook/core/router.py
+++ b/yewhook/core/router.py
@@ -43,7 +43,7 @@
         workers: Workers,
         log: Log,
     ) -> None:
-        """Create a router; `clock` returns seconds of the loop's clock, `seed` is that of `hopshed`."""
+        """`clock` returns the loop's time in seconds; `seed` is passed to `hopshed`'s `Controller`."""
         self.settings, self.workers, self.log = settings, workers, log
         self.governor: Governor | None = None  # set where levels of service are enabled
         self.tell: Callable[[bytes], None] = lambda data: (
@@ -351,7 +351,7 @@
             # A server that hangs may process a repeat when it resumes; after the deduplication window that
             # would run the request again.
             timeout = min(timeout, send_rules.repeat_window_left(record, self.settings, self._clock()))
-        if at_reader and record.held.possible:
+        if at_reader and record.held.may_exist:
             self._releases.release(record)
         attempt = Attempt(number, action.server, at_reader, self._clock())
         record.attempts.append(attempt)
--- a/yewhook/core/state_releases.py
+++ b/yewhook/core/state_releases.py
@@ -35,10 +35,9 @@
         limit: float,
         on_expired: Callable[[RequestRecord], None],
     ) -> None:
-        """Create the releases of one router.
+        """`limit` is the time in seconds for which state may be held.
 
-        `limit` is the time in seconds for which state may be held; `on_expired` is called with a request
-        whose state is released because that time has run out.
+        `on_expired` is called with each request whose state is released because that time has run out.
         """
         self._deadlines, self._clock = deadlines, clock
         self._workers, self.log = workers, log
@@ -51,7 +50,7 @@
             return
         self._deadlines.cancel(record.release_timer)
         record.release_timer = None
-        if record.held.possible:
+        if record.held.may_exist:
             record.release_timer = self._deadlines.set(at, lambda: self._expired(record))
 
     def _expired(self, record: RequestRecord) -> None:
@@ -62,7 +61,7 @@
     def release(self, record: RequestRecord) -> None:
         """Tell workers to release all state that they hold for the request."""
         now = self._clock()
-        due = record.held.due if record.held.possible else now + self._limit
+        due = record.held.due if record.held.may_exist else now + self._limit
         due = max(due, now + MIN_RELEASE_TIME_S)
         record.held.mark_released(record.attempt_out is not None)
         self.schedule(record)
@@ -81,7 +80,7 @@
     def request_ended(self, record: RequestRecord) -> None:
         """Release the state of a request that has ended and has no attempt out."""
         self._deadlines.cancel(record.release_timer)
-        if record.held.possible:
+        if record.held.may_exist:
             self.release(record)
 
     def delay_read(self, record: RequestRecord, attempt: Attempt, send: Callable[[], None]) -> bool:
@@ -89,10 +88,10 @@
         if not record.open_releases:
             return False
         record.send_waiting = send
-        self._deadlines.set(self._clock() + MAX_READ_DELAY_S, partial(self._stop_waiting, record, attempt))
+        self._deadlines.set(self._clock() + MAX_READ_DELAY_S, partial(self._end_delay, record, attempt))
         return True
 
-    def _stop_waiting(self, record: RequestRecord, attempt: Attempt) -> None:
+    def _end_delay(self, record: RequestRecord, attempt: Attempt) -> None:
         if attempt.is_out and record.send_waiting is not None:
             record.send_waiting()
 
--- a/yewhook/worker_list.py
+++ b/yewhook/worker_list.py
@@ -22,7 +22,7 @@
 
 
 def server_id(instance: str) -> int:
-    """The number of a worker, which is the same at every router."""
+    """The number of a worker: the same at every router, whatever the order in which workers were named."""
     return int.from_bytes(blake2b(instance.encode(), digest_size=6).digest(), "big")
 
 
