--- a/hopshed/wire.py
+++ b/hopshed/wire.py
@@ -128,7 +128,7 @@
         return DEFAULT_RELEASE_WITHIN_S
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not 0 < value < math.inf:
-        raise SettingError(f"extra.let-go-by-ms: got {value!r}, expected a number of milliseconds above 0")
+        raise SettingError(f"extra.let-go-by-ms: got {value!r}, expected a number of milliseconds over 0")
     return float(value) / 1000.0
 
 
