--- a/tests/recovery/test_restart_scope.py
+++ b/tests/recovery/test_restart_scope.py
@@ -1,41 +1,46 @@
-"""Only this router, or all of them."""
+"""The estimate of whether only this router or the whole fleet was restarted."""
 
 from __future__ import annotations
 
 import pytest
 
-from yewhook.recovery.restart_scope import Evidence, Scope, estimate_scope
+from yewhook.recovery.restart_scope import RestartEvidence, Scope, estimate_scope
 
-BEFORE, AFTER = {n: 50.0 for n in range(4)}, {n: 120.0 for n in range(4)}
+STARTED_BEFORE, STARTED_AFTER = {n: 50.0 for n in range(4)}, {n: 120.0 for n in range(4)}
 
 
 @pytest.mark.parametrize(
-    ("seen", "scope"),
+    ("evidence", "scope"),
     [
-        (Evidence(None, None), Scope.UNKNOWN),
-        (Evidence(100.0, True, starts=BEFORE), Scope.ALONE),
-        (Evidence(100.0, False, starts=BEFORE, up_longer=3), Scope.ALONE),
-        (Evidence(100.0, False, starts=AFTER), Scope.FLEET),
-        (Evidence(100.0, None, starts=AFTER, up_since=2), Scope.FLEET),
-        # A register with a list from before the loss speaks against what everybody else shows.
-        (Evidence(100.0, False, starts=BEFORE, up_since=2), Scope.UNKNOWN),
-        # A third of the workers was replaced meanwhile: that is a release, and no loss.
-        (Evidence(100.0, True, starts=BEFORE | {0: 120.0}), Scope.ALONE),
-        # It was only this machine; the others have gone on.
-        (Evidence(100.0, False, starts={}, up_longer=2), Scope.UNKNOWN),
-        # Its clock was in the past, or the snapshot's in the future: starts say nothing.
-        (Evidence(100.0, False, clock_back=True, starts=AFTER), Scope.UNKNOWN),
-        (Evidence(100.0, False, generation_back=True, starts=AFTER, up_longer=1), Scope.FLEET),
+        (RestartEvidence(None, None), Scope.UNKNOWN),
+        (RestartEvidence(100.0, True, start_times=STARTED_BEFORE), Scope.THIS_ROUTER),
+        (RestartEvidence(100.0, False, start_times=STARTED_BEFORE, routers_up_before=3), Scope.THIS_ROUTER),
+        (RestartEvidence(100.0, False, start_times=STARTED_AFTER), Scope.FLEET),
+        (RestartEvidence(100.0, None, start_times=STARTED_AFTER, routers_up_after=2), Scope.FLEET),
+        # A register with a list from before the loss contradicts all other evidence.
+        (RestartEvidence(100.0, False, start_times=STARTED_BEFORE, routers_up_after=2), Scope.UNKNOWN),
+        # A quarter of the workers was replaced meanwhile, as in a deployment: no power loss.
+        (RestartEvidence(100.0, True, start_times=STARTED_BEFORE | {0: 120.0}), Scope.THIS_ROUTER),
+        # Only this machine was rebooted; the other routers kept running.
+        (RestartEvidence(100.0, False, start_times={}, routers_up_before=2), Scope.UNKNOWN),
+        # The clock is behind the snapshot, so start times cannot be compared.
+        (RestartEvidence(100.0, False, clock_went_back=True, start_times=STARTED_AFTER), Scope.UNKNOWN),
+        (
+            RestartEvidence(
+                100.0, False, generation_went_back=True, start_times=STARTED_AFTER, routers_up_before=1
+            ),
+            Scope.FLEET,
+        ),
     ],
 )
-def test_evidence_decides(seen: Evidence, scope: Scope) -> None:
-    assert estimate_scope(seen).scope is scope
+def test_the_scope_that_the_evidence_indicates(evidence: RestartEvidence, scope: Scope) -> None:
+    assert estimate_scope(evidence).scope is scope
 
 
-def test_clocks_that_differ_a_little_make_no_loss() -> None:
-    assert estimate_scope(Evidence(100.0, True, starts={1: 100.9})).scope is Scope.ALONE
+def test_a_small_clock_difference_is_tolerated() -> None:
+    assert estimate_scope(RestartEvidence(100.0, True, start_times={1: 100.9})).scope is Scope.THIS_ROUTER
 
 
-def test_a_verdict_says_on_what() -> None:
-    told = str(estimate_scope(Evidence(100.0, False, starts=AFTER)))
-    assert "4 of 4 workers began after the snapshot" in told and "started anew" in told
+def test_an_estimate_names_its_evidence() -> None:
+    text = str(estimate_scope(RestartEvidence(100.0, False, start_times=STARTED_AFTER)))
+    assert "4 of 4 workers began after the snapshot" in text and "started anew" in text
--- a/yewhook/recovery/__init__.py
+++ b/yewhook/recovery/__init__.py
@@ -1,4 +1,4 @@
-"""Recovery from the loss of a whole fleet: what still holds, who was lost, in which order service returns.
+"""Recovery from a power loss of the whole fleet: snapshots, trust in sources, phases and admission.
 
-All but `snapshot_store.py` and `files.py` is free of I/O. Nothing of it is imported where recovery is off.
+Only `snapshot_store.py` and `files.py` do I/O. The package is not imported where the recovery is off.
 """
--- a/yewhook/recovery/desired_state.py
+++ b/yewhook/recovery/desired_state.py
@@ -1,4 +1,4 @@
-"""What operators want of an agent's instances: what a power loss must not undo. No I/O."""
+"""The desired state of an agent's instances, set by operators, which must survive a power loss. No I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Drained:
-    by: str
+    """An order to drain an instance."""
+
+    by: str  # who gave it
     since: float  # Unix s
 
 
 @dataclass(frozen=True, slots=True)
 class DesiredInstance:
-    """Of one instance."""
+    """The desired state of one instance."""
 
     runs: bool = True
     drain: Drained | None = None
@@ -24,28 +26,34 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredState:
-    revision: int = 0
+    """The desired state of all instances of an agent."""
+
+    revision: int = 0  # number of changes
     instances: Mapping[str, DesiredInstance] = field(
         default_factory=dict
-    )  # those that differ from the default
+    )  # only those that differ from the default
 
     def instance(self, name: str) -> DesiredInstance:
+        """The desired state of an instance, or the default."""
         return self.instances.get(name, DesiredInstance())
 
-    def change(self, name: str, wish: DesiredInstance) -> DesiredState:
-        """With that instance's wish; the same where nothing changes."""
-        if self.instance(name) == wish:
+    def change(self, name: str, desired: DesiredInstance) -> DesiredState:
+        """The state with a change to one instance; this object itself if nothing changes."""
+        if self.instance(name) == desired:
             return self
-        others = {other: one for other, one in self.instances.items() if other != name}
-        return DesiredState(self.revision + 1, others | ({name: wish} if wish != DesiredInstance() else {}))
+        others = {other: instance for other, instance in self.instances.items() if other != name}
+        return DesiredState(
+            self.revision + 1, others | ({name: desired} if desired != DesiredInstance() else {})
+        )
 
 
-def pack(wanted: DesiredState) -> bytes:
-    return msgspec.json.format(msgspec.json.encode(wanted)) + b"\n"
+def pack(state: DesiredState) -> bytes:
+    """Encodes the state as indented JSON."""
+    return msgspec.json.format(msgspec.json.encode(state)) + b"\n"
 
 
 def unpack(data: bytes) -> DesiredState:
-    """Raises ValueError where it is damaged."""
+    """Decodes the state. Raises ValueError if it is damaged."""
     try:
         return msgspec.json.decode(data, type=DesiredState)
     except msgspec.MsgspecError as error:
--- a/yewhook/recovery/peer_messages.py
+++ b/yewhook/recovery/peer_messages.py
@@ -1,6 +1,7 @@
-"""What routers tell one another while service returns: one small datagram, and when to send it. No I/O.
+"""The messages between routers while service returns: one small datagram each, and when to send it. No I/O.
 
-Times in a word are ages, so that clocks need not agree. A worker is told of as it was last seen: up or gone.
+Times in a message are ages, so that the routers' clocks need not agree. A worker is reported as it was last
+seen: running or unreachable.
 """
 
 from __future__ import annotations
@@ -12,88 +13,105 @@
 
 from .phases import Phase
 
-MARK, VERSION = b"P", 1
-# Mark, version, flags, phase, workers, lateness (255 = all), turns lately (tenths), up for (tenths of s)
-HEAD = struct.Struct("!cBBBBBBI")
-WORKER = struct.Struct("!QBB")  # number, up or gone, seen so many tenths of a s ago
-MAX_WORKERS, MAX_MESSAGE_BYTES = 20, 256  # a datagram's limit is the platform's
-ASKS = 1  # flag
-FIRST = (0.05, 0.6)  # s after the start in which a router speaks first
-AGAIN = 1.0  # s between words while it recovers, times up to two by chance
-ASKERS, ANSWERS = 3.0, 4.0  # questions of a fleet, and answers to one, on average
-ANSWER_IN = (0.02, 0.3)  # s
+MARK = b"P"  # the first byte
+VERSION = 1
+# Mark, version, flags, phase, number of workers, late share (255 = all), sampled turns (tenths), uptime
+# (tenths of a second)
+HEADER = struct.Struct("!cBBBBBBI")
+WORKER_RECORD = struct.Struct("!QBB")  # number, whether it runs, age of that in tenths of a second
+MAX_WORKERS = 20
+MAX_MESSAGE_BYTES = 256  # the platform's limit on datagrams
+ASKS_FLAG = 1
+FIRST_MESSAGE_DELAY_S = (0.05, 0.6)  # after the start, at random
+MESSAGE_INTERVAL_S = 1.0  # while a router recovers; times 1 to 2 at random
+MEAN_QUERIES = 3.0  # first messages of the whole fleet that ask the others to reply
+MEAN_REPLIES = 4.0  # of the whole fleet to one query
+REPLY_DELAY_S = (0.02, 0.3)  # at random
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class WorkerStatus:
+    """What a router last saw of a worker."""
+
     server: int
-    runs: bool
+    running: bool
     age: float  # s
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    asks: bool
-    phase: Phase
-    up_for: float  # s
-    workers: tuple[Seen, ...] = ()
-    late: float = 0.0  # part of the worth that it answered late, or lost, in the last second or so
-    turns: float = 0.0  # by how many turns it knows that
+    """What a router tells the others."""
 
-
-def pack(word: PeerMessage) -> bytes:
-    workers = word.workers[:MAX_WORKERS]
-    up = min(0xFFFFFFFF, max(0, round(word.up_for * 10)))
-    late, turns = (min(255, max(0, round(255 * word.late))), min(255, max(0, round(10 * word.turns))))
-    head = HEAD.pack(MARK, VERSION, ASKS * word.asks, word.phase, len(workers), late, turns, up)
-    rest = (WORKER.pack(w.server, w.runs, min(255, max(0, round(w.age * 10)))) for w in workers)
-    return head + b"".join(rest)
+    asks: bool  # whether the others are to reply
+    phase: Phase
+    uptime: float  # s
+    workers: tuple[WorkerStatus, ...] = ()
+    late_share: float = 0.0  # of the worth, that was answered late or lost in the last second or so
+    sampled_turns: float = 0.0  # number of turns that the late share is taken of
+
+
+def pack(message: PeerMessage) -> bytes:
+    """Encodes a message; workers beyond the limit are left out."""
+    workers = message.workers[:MAX_WORKERS]
+    uptime = min(0xFFFFFFFF, max(0, round(message.uptime * 10)))
+    late, turns = (
+        min(255, max(0, round(255 * message.late_share))),
+        min(255, max(0, round(10 * message.sampled_turns))),
+    )
+    header = HEADER.pack(
+        MARK, VERSION, ASKS_FLAG * message.asks, message.phase, len(workers), late, turns, uptime
+    )
+    records = (
+        WORKER_RECORD.pack(status.server, status.running, min(255, max(0, round(status.age * 10))))
+        for status in workers
+    )
+    return header + b"".join(records)
 
 
 def unpack(data: bytes) -> PeerMessage:
-    """Raises ValueError where it is not a word, or of another version."""
-    if len(data) < HEAD.size or data[:1] != MARK:
+    """Decodes a message. Raises ValueError if it is malformed or has another version."""
+    if len(data) < HEADER.size or data[:1] != MARK:
         raise ValueError(f"a message of {len(data)} bytes that begins with {data[:1]!r}")
-    _, version, flags, phase, count, late, turns, up = HEAD.unpack_from(data)
+    _, version, flags, phase, count, late, turns, uptime = HEADER.unpack_from(data)
     if version != VERSION:
-        raise ValueError(f"a word of version {version}, and {VERSION} is read here")
-    if len(data) != HEAD.size + count * WORKER.size or count > MAX_WORKERS:
-        raise ValueError(f"a word of {len(data)} bytes for {count} workers")
-    seen = (WORKER.unpack_from(data, HEAD.size + n * WORKER.size) for n in range(count))
-    workers = tuple(Seen(server, bool(runs), age / 10) for server, runs, age in seen)
-    return PeerMessage(bool(flags & ASKS), Phase(phase), up / 10, workers, late / 255, turns / 10)
+        raise ValueError(f"a message of version {version}, expected {VERSION}")
+    if len(data) != HEADER.size + count * WORKER_RECORD.size or count > MAX_WORKERS:
+        raise ValueError(f"a message of {len(data)} bytes for {count} workers")
+    records = (WORKER_RECORD.unpack_from(data, HEADER.size + n * WORKER_RECORD.size) for n in range(count))
+    workers = tuple(WorkerStatus(server, bool(running), age / 10) for server, running, age in records)
+    return PeerMessage(bool(flags & ASKS_FLAG), Phase(phase), uptime / 10, workers, late / 255, turns / 10)
 
 
 class MessageSchedule:
-    """When a router speaks. Nobody waits for a word, and none is sent twice."""
+    """When a router sends a message. Nothing waits for a message, and none is sent again if it is lost."""
 
     def __init__(self, routers: int, random: Random, now: float) -> None:
-        """`routers` = of the tier, this one too."""
+        """`routers` = number of routers in the tier, including this one."""
         self._others, self._random = max(1, routers - 1), random
-        self.at = now + random.uniform(*FIRST)  # when it speaks next
-        # One router alone in its tier has nobody to ask; of many a few ask, and all hear the answers.
-        self._asks = random.random() < ASKERS / max(1, routers)
+        self.next_at = now + random.uniform(*FIRST_MESSAGE_DELAY_S)  # s
+        # In a large tier only a few routers ask, and all receive the replies.
+        self._asks = random.random() < MEAN_QUERIES / max(1, routers)
 
-    def due(self, now: float, recovers: bool) -> bool | None:
-        """Whether to speak now, and then whether to ask; None = be silent."""
-        if now < self.at:
+    def due(self, now: float, recovering: bool) -> bool | None:
+        """None if no message is due, else whether the message is to ask for replies."""
+        if now < self.next_at:
             return None
         asks, self._asks = self._asks, False
-        # The fleet's words together stay at some ten in AGAIN, however many routers there are.
-        spread = AGAIN * max(1.0, self._others / 10.0)
-        self.at = now + self._random.uniform(spread, 2 * spread) if recovers else float("inf")
+        # At most about ten messages per second in the whole fleet, however many routers it has
+        interval = MESSAGE_INTERVAL_S * max(1.0, self._others / 10.0)
+        self.next_at = now + self._random.uniform(interval, 2 * interval) if recovering else float("inf")
         return asks
 
     def asked(self, now: float) -> None:
-        """Another one asks: a share of all answers."""
-        if self._random.random() < ANSWERS / self._others:
-            self.at = min(self.at, now + self._random.uniform(*ANSWER_IN))
+        """Another router asks: this one replies with a probability that keeps the number of replies low."""
+        if self._random.random() < MEAN_REPLIES / self._others:
+            self.next_at = min(self.next_at, now + self._random.uniform(*REPLY_DELAY_S))
 
 
-def choose(alive: Sequence[Seen], random: Random) -> tuple[Seen, ...]:
-    """The workers to tell of: what was seen last, and some by chance where there are more."""
-    if len(alive) <= MAX_WORKERS:
-        return tuple(alive)
-    fresh = sorted(alive, key=lambda seen: seen.age)
+def choose_workers(statuses: Sequence[WorkerStatus], random: Random) -> tuple[WorkerStatus, ...]:
+    """The workers to report: all, or if they are too many, the latest seen and a sample of the rest."""
+    if len(statuses) <= MAX_WORKERS:
+        return tuple(statuses)
+    latest_first = sorted(statuses, key=lambda status: status.age)
     half = MAX_WORKERS // 2
-    return tuple(fresh[:half]) + tuple(random.sample(fresh[half:], MAX_WORKERS - half))
+    return tuple(latest_first[:half]) + tuple(random.sample(latest_first[half:], MAX_WORKERS - half))
--- a/yewhook/recovery/phases.py
+++ b/yewhook/recovery/phases.py
@@ -1,5 +1,8 @@
-"""The phases in which service returns, as a pure machine: steps up one at a time and after a while of calm,
-down at once. Under steady evidence it moves up to where that evidence ends, and stays there."""
+"""The phases in which service returns, as a pure state machine.
+
+Phases advance one at a time, after their condition has held for a while, and fall back at once. Under steady
+evidence the state settles in the best phase that the evidence supports.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,9 @@
 
 
 class Phase(IntEnum):
-    NOTHING = 0
+    """A phase, from no known workers to full service."""
+
+    NOTHING_KNOWN = 0
     COLD = 1
     TRICKLE = 2
     RAMP = 3
@@ -16,70 +21,77 @@
 
     @property
     def label(self) -> str:
+        """The name in logs and reports."""
         return LABELS[self]
 
 
 LABELS = {
-    Phase.NOTHING: "nothing known",
+    Phase.NOTHING_KNOWN: "nothing known",
     Phase.COLD: "known but cold",
     Phase.TRICKLE: "trickle",
     Phase.RAMP: "ramp",
     Phase.FULL: "full",
 }
-WAITS_FOR = {
-    Phase.NOTHING: "a list with a reader and a writer, or a mixed worker",
+NEXT_PHASE_CONDITIONS = {
+    Phase.NOTHING_KNOWN: "a list with a reader and a writer, or a mixed worker",
     Phase.COLD: "an answer or a new start of a reader and of a writer, or of a mixed worker",
     Phase.TRICKLE: "answers in time for a while",
-    Phase.RAMP: "all that is asked fits what is warm, for a while",
+    Phase.RAMP: "all turns admitted and the workers warm, for a while",
     Phase.FULL: "",
 }
-WARM = 0.9  # part of the known workers' capacity that is warm, from which on all is as before
+MIN_WARM_SHARE = 0.9  # of the known workers' capacity, for full service
 
 
 @dataclass(frozen=True, slots=True)
 class PhaseEvidence:
-    """What the phase goes by at one moment."""
+    """What the phase is determined by at one moment."""
 
-    path: bool  # by the list there is a reader and a writer, or a mixed worker
-    proven: bool  # such workers have answered somebody, or were started since the loss
+    path_listed: bool  # the list has a reader and a writer, or a mixed worker
+    path_confirmed: bool  # such workers have answered a router, or were started since the loss
     late: bool  # too much of the worth is late or lost
-    fits: bool  # all that is asked for is admitted
-    warm: float  # part of the known workers' capacity
-    alone: bool = False  # only this router was restarted
+    all_admitted: bool  # practically no turn is refused
+    warm_share: float  # of the known workers' capacity
+    only_this_router: bool = False  # the workers were not restarted
 
 
-def reached(sight: PhaseEvidence) -> Phase:
-    """The best phase that the evidence of this moment carries."""
-    if not sight.path:
-        return Phase.NOTHING
-    if sight.alone:
+def best_phase(evidence: PhaseEvidence) -> Phase:
+    """The best phase that the evidence of this moment supports."""
+    if not evidence.path_listed:
+        return Phase.NOTHING_KNOWN
+    if evidence.only_this_router:
         return Phase.FULL
-    if not sight.proven:
+    if not evidence.path_confirmed:
         return Phase.COLD
-    if sight.late:
+    if evidence.late:
         return Phase.TRICKLE
-    return Phase.FULL if sight.fits and sight.warm >= WARM else Phase.RAMP
+    return Phase.FULL if evidence.all_admitted and evidence.warm_share >= MIN_WARM_SHARE else Phase.RAMP
 
 
 @dataclass(frozen=True, slots=True)
 class PhaseState:
+    """The present phase."""
+
     phase: Phase
     since: float  # s
-    better: float | None = None  # since when the evidence carries a better phase
+    better_since: float | None = None  # s; since when the evidence supports a better phase
+
+    def step(self, evidence: PhaseEvidence, now: float, calm: float) -> PhaseState:
+        """The state after one evaluation; `calm` = seconds for which a better phase must be supported.
 
-    def step(self, sight: PhaseEvidence, now: float, calm: float) -> PhaseState:
-        """One look. Only want of workers takes full service back: lateness is then the levels' matter."""
-        best = reached(sight)
+        Only a list without the needed workers ends full service: lateness is then left to the levels of
+        service.
+        """
+        best = best_phase(evidence)
         if self.phase is Phase.FULL:
-            return PhaseState(Phase.NOTHING, now) if best is Phase.NOTHING else self
+            return PhaseState(Phase.NOTHING_KNOWN, now) if best is Phase.NOTHING_KNOWN else self
         if best < self.phase:
             return PhaseState(best, now)
         if best is self.phase:
-            return self if self.better is None else PhaseState(self.phase, self.since)
-        better = now if self.better is None else self.better
-        # What is proven needs no calm: only the steps that load decides are waited for.
-        waits = 0.0 if sight.alone or self.phase <= Phase.COLD else calm
-        if now - better >= waits:
-            up = Phase.FULL if sight.alone else Phase(self.phase + 1)
-            return PhaseState(up, now)
-        return PhaseState(self.phase, self.since, better)
+            return self if self.better_since is None else PhaseState(self.phase, self.since)
+        better_since = now if self.better_since is None else self.better_since
+        # Running workers are a fact and need no calm; only the steps that depend on load wait for it.
+        required_calm = 0.0 if evidence.only_this_router or self.phase <= Phase.COLD else calm
+        if now - better_since >= required_calm:
+            next_phase = Phase.FULL if evidence.only_this_router else Phase(self.phase + 1)
+            return PhaseState(next_phase, now)
+        return PhaseState(self.phase, self.since, better_since)
--- a/yewhook/recovery/ramp.py
+++ b/yewhook/recovery/ramp.py
@@ -1,9 +1,11 @@
-"""How much is admitted while service returns: the worthiest work always, the rest by a bucket whose rate
-follows how the worthiest fares.
+"""How many turns are admitted while service returns.
 
-It counts turns: what a turn's work is has to be learnt anew after a start, and was found three times too much
-at first. The rate is this router's part, one of all that the settings name: how many others are seen is no
-ground to take more, so a parted fleet's shares sum to one.
+Resumed streams and the top class, that of the highest worth per unit of work, are always admitted. The other
+turns pass a token bucket whose rate depends on the share of worth that is late. The bucket counts turns, not
+their work: the estimate of work has to be learnt anew after a start, and was three times too high at first.
+
+The rate is this router's part of the fleet's: one of as many as the settings name, however many other routers
+are seen, so that the rates in a partitioned fleet do not sum to more than the whole.
 """
 
 from __future__ import annotations
@@ -16,128 +18,154 @@
 from ..levels.turns import RefusalLoss, Turn, TurnKind
 from .settings import RecoverySettings
 
-DEPTH = 1.0  # s of the rate that the bucket holds; one turn at least
-LEAST = 0.1  # turns a second, with which a rate begins and under which it ends
-LATE_SPAN, DEMAND_SPAN = 1.0, 2.0  # s
-BEGIN = 0.5  # part of what is warm with which a rate begins, if that is more
-AHEAD = 2.0  # times what is asked for, which is as good as all
-CUT_AGAIN = 1.0  # s after a cut in which what was taken before it may still be late
-OVER_PART = 0.3  # of the bucket that a client beyond its part must leave to others
-RETRY_LEAST, RETRY_MOST = 0.5, 5.0  # s, of advice
-REFUSED_MOST = 0.02  # part of what is asked for, refused; more, and it does not fit
+BUCKET_DEPTH_S = 1.0  # of the rate that the bucket holds; at least one turn
+MIN_TURNS_PER_S = 0.1  # a rate starts at this, and becomes 0 below it
+LATE_TIME_CONSTANT_S = 1.0
+DEMAND_TIME_CONSTANT_S = 2.0
+INITIAL_RATE_SHARE = 0.5  # of the proven turn rate, if that is over the minimum
+MAX_DEMAND_MULTIPLE = 2.0  # bounds the rate; at this multiple of the demand all of it is admitted
+MIN_CUT_INTERVAL_S = 1.0  # turns admitted before a cut can still be late for so long
+OVER_SHARE_RESERVE = 0.3  # share of the bucket that a client beyond its share must leave to others
+BASE_RETRY_AFTER_S = 0.5  # longest wait that is advised when no turns are refused
+MAX_RETRY_AFTER_S = 5.0  # longest wait that is ever advised
+MAX_REFUSED_SHARE = 0.02  # of the demand, up to which all of it counts as admitted
 
 
 class Rank(IntEnum):
-    """Who goes first."""
+    """The precedence of a turn, the highest first."""
 
-    BACK = 0  # the rest of a stream that broke
-    TOP = 1  # the class of the highest worth for its work
-    UNDER_WAY = 2  # a session whose text still stands
-    NEW = 3
-    BEYOND = 4  # beyond a share, or a client's own repeat
+    RESUMED_STREAM = 0  # the rest of a stream that broke
+    TOP_CLASS = 1  # a class of the highest worth per unit of work
+    OPEN_SESSION = 2  # a session whose text is still cached
+    NEW_SESSION = 3
+    OVER_SHARE_OR_RETRY = 4  # beyond its client's share, or the client's own retry
 
 
-# Part of the bucket that a rank leaves to the better ones. Streams that come back and the worthiest class
-# take none of it: the module refuses what of them finds no room, and limits here only lost worth.
-LINES = {Rank.UNDER_WAY: 0.0, Rank.NEW: 0.3, Rank.BEYOND: 0.6}
+# Share of the bucket that a rank leaves to the better ones. Resumed streams and the top class do not draw on
+# the bucket: the module refuses those that find no room, and limits on them here only lost worth.
+RESERVED_BUCKET_SHARE = {Rank.OPEN_SESSION: 0.0, Rank.NEW_SESSION: 0.3, Rank.OVER_SHARE_OR_RETRY: 0.6}
 
 
-def rank(kind: TurnKind, top: frozenset[int]) -> Rank:
+def rank(kind: TurnKind, top_classes: frozenset[int]) -> Rank:
+    """The rank of a kind of turns."""
     if kind.refusal_loss is RefusalLoss.RESUMED_STREAM:
-        return Rank.BACK
+        return Rank.RESUMED_STREAM
     if kind.over_share:
-        return Rank.BEYOND
-    if kind.cls in top:
-        return Rank.TOP
+        return Rank.OVER_SHARE_OR_RETRY
+    if kind.cls in top_classes:
+        return Rank.TOP_CLASS
     if kind.refusal_loss is RefusalLoss.CLIENT_RETRY:
-        return Rank.BEYOND
-    return Rank.UNDER_WAY if kind.refusal_loss is RefusalLoss.OPEN_SESSION else Rank.NEW
+        return Rank.OVER_SHARE_OR_RETRY
+    return Rank.OPEN_SESSION if kind.refusal_loss is RefusalLoss.OPEN_SESSION else Rank.NEW_SESSION
 
 
 class Ramp:
+    """Admits turns at a rate that rises while answers are in time and is cut when they are late."""
+
     def __init__(self, settings: RecoverySettings, weights: Sequence[float], now: float) -> None:
-        """`weights` = the clients' shares; none of them known = one client."""
+        """`weights` = the clients' shares; without any, all turns belong to one client."""
         self.settings, self._weights = settings, list(weights) or [1.0]
-        self.rate = 0.0  # turns a second, of the ranks that have a line
-        self.late = DecayingRatio(LATE_SPAN, 0.0)  # worth that was late or lost
-        self._level, self._at = 0.0, now
-        self._looked = self._cut_at = now
-        self._beyond = 1.0  # times what is shown, that is tried
-        self._asked = [DecayingRate(DEMAND_SPAN, now) for _ in self._weights]  # turns a second by client
-        self._got = [DecayingRate(DEMAND_SPAN, now) for _ in self._weights]
-        self._first, self._refused = DecayingRate(DEMAND_SPAN, now), DecayingRate(DEMAND_SPAN, now)
+        self.rate = 0.0  # turns per second, of the ranks that draw on the bucket
+        self.lateness = DecayingRatio(LATE_TIME_CONSTANT_S, 0.0)  # share of worth that was late or lost
+        self._tokens, self._refilled_at = 0.0, now
+        self._updated_at = self._cut_at = now
+        self._probe_factor = 1.0  # the rate is tried up to this multiple of the proven turn rate
+        # Turns per second by client
+        self._demand = [DecayingRate(DEMAND_TIME_CONSTANT_S, now) for _ in self._weights]
+        self._admitted = [DecayingRate(DEMAND_TIME_CONSTANT_S, now) for _ in self._weights]
+        # Turns per second of the ranks that do not draw on the bucket, and refused ones
+        self._exempt, self._refused = (
+            DecayingRate(DEMAND_TIME_CONSTANT_S, now),
+            DecayingRate(DEMAND_TIME_CONSTANT_S, now),
+        )
 
     # ---- the rate ----
 
-    def look(self, now: float, warm: float, opens: bool) -> None:
-        """Once in a while. `warm` = turns a second that the warm part of the fleet has been shown to do for
-        this router; `opens` = answers come, so that there is something to judge by.
+    def update(self, now: float, proven: float, opens: bool) -> None:
+        """Adapts the rate; to be called periodically.
 
-        The fleet may have been asked for less than it can do: what is tried rises while answers are in
-        time."""
-        s, seconds = self.settings, now - self._looked
-        self._looked = now
+        `proven` = turns per second that the warm part of the fleet served for this router before; `opens` =
+        answers arrive, so that lateness is meaningful. The fleet may be able to serve more than it was asked
+        for before, so the multiple of `proven` that is tried rises while answers are in time.
+        """
+        settings, seconds = self.settings, now - self._updated_at
+        self._updated_at = now
         self._refill(now)
-        if self.late.at(now) >= s.late or not opens:
-            if now - self._cut_at >= CUT_AGAIN:
-                self.rate, self._cut_at = self.rate * s.cut, now
-                self._beyond = max(1.0, self._beyond * s.cut)
-                self.rate = self.rate if self.rate >= LEAST else 0.0
-        elif not self.fits(now):
-            self.rate = max(self.rate * s.grow**seconds, BEGIN * warm, LEAST)
-            if self.rate >= self._beyond * warm:
-                self._beyond *= s.grow**seconds
-        most = max(self._beyond * warm, LEAST)
-        self.rate = min(self.rate, most, max(LEAST, AHEAD * self._asks(now)))
+        if self.lateness.at(now) >= settings.late or not opens:
+            if now - self._cut_at >= MIN_CUT_INTERVAL_S:
+                self.rate, self._cut_at = self.rate * settings.cut, now
+                self._probe_factor = max(1.0, self._probe_factor * settings.cut)
+                self.rate = self.rate if self.rate >= MIN_TURNS_PER_S else 0.0
+        elif not self.all_admitted(now):
+            self.rate = max(self.rate * settings.grow**seconds, INITIAL_RATE_SHARE * proven, MIN_TURNS_PER_S)
+            if self.rate >= self._probe_factor * proven:
+                self._probe_factor *= settings.grow**seconds
+        max_rate = max(self._probe_factor * proven, MIN_TURNS_PER_S)
+        self.rate = min(
+            self.rate, max_rate, max(MIN_TURNS_PER_S, MAX_DEMAND_MULTIPLE * self._total_demand(now))
+        )
 
     @property
-    def _size(self) -> float:
-        return max(1.0, self.rate * DEPTH)
+    def _bucket_size(self) -> float:
+        return max(1.0, self.rate * BUCKET_DEPTH_S)
 
     def _refill(self, now: float) -> None:
-        self._level = min(self._size, self._level + self.rate * (now - self._at))
-        self._at = now
+        self._tokens = min(self._bucket_size, self._tokens + self.rate * (now - self._refilled_at))
+        self._refilled_at = now
 
     # ---- turns ----
 
-    def admits(self, turn: Turn, top: frozenset[int], now: float) -> bool:
+    def admits(self, turn: Turn, top_classes: frozenset[int], now: float) -> bool:
+        """Whether an arriving turn is admitted; takes a token from the bucket if its rank needs one."""
         self._refill(now)
-        self._asked[turn.tenant].add(1.0, now)
-        place = rank(turn.kind, top)
-        if place <= Rank.TOP:
-            self._first.add(1.0, now)
-        elif self.rate <= 0 or self._level < 1.0 + self._line(place, turn.tenant, now) * (self._size - 1.0):
+        self._demand[turn.tenant].add(1.0, now)
+        turn_rank = rank(turn.kind, top_classes)
+        if turn_rank <= Rank.TOP_CLASS:
+            self._exempt.add(1.0, now)
+        elif self.rate <= 0 or self._tokens < 1.0 + self._reserved_share(turn_rank, turn.tenant, now) * (
+            self._bucket_size - 1.0
+        ):
             self._refused.add(1.0, now)
             return False
         else:
-            self._level -= 1.0
-        self._got[turn.tenant].add(1.0, now)
+            self._tokens -= 1.0
+        self._admitted[turn.tenant].add(1.0, now)
         return True
 
-    def _line(self, place: Rank, tenant: int, now: float) -> float:
-        """Part of the bucket that must be left. A client that has its max-min part already leaves some to
-        those who have not."""
-        asked, whole = [rate.at(now) for rate in self._asked], self.rate + self._first.at(now)
-        part = max_min(asked, self._weights, whole)[tenant]
-        beyond = sum(asked) > whole and self._got[tenant].at(now) >= part
-        return LINES[place] + (OVER_PART if beyond else 0.0)
+    def _reserved_share(self, turn_rank: Rank, tenant: int, now: float) -> float:
+        """The share of the bucket that must be left.
+
+        It is larger for a client that already has its max-min fair share while the demand exceeds the total.
+        """
+        demand, total = [rate.at(now) for rate in self._demand], self.rate + self._exempt.at(now)
+        fair_share = max_min(demand, self._weights, total)[tenant]
+        over_share = sum(demand) > total and self._admitted[tenant].at(now) >= fair_share
+        return RESERVED_BUCKET_SHARE[turn_rank] + (OVER_SHARE_RESERVE if over_share else 0.0)
 
-    def fits(self, now: float) -> bool:
-        """Whether all that is asked for is admitted."""
-        return self._refused.at(now) <= REFUSED_MOST * self._asks(now)
+    def all_admitted(self, now: float) -> bool:
+        """Whether practically the whole demand is admitted."""
+        return self._refused.at(now) <= MAX_REFUSED_SHARE * self._total_demand(now)
 
-    def _asks(self, now: float) -> float:
-        return sum(rate.at(now) for rate in self._asked)
+    def _total_demand(self, now: float) -> float:
+        return sum(rate.at(now) for rate in self._demand)
 
     def retry_after(self, now: float) -> tuple[float, float]:
-        """s, least and most: what is refused in a second comes back over so many that it fits the rate."""
-        over = self._refused.at(now) / max(self.rate, LEAST)
-        most = min(RETRY_MOST, RETRY_LEAST * (1.0 + over))
-        return most / 2.0, most
+        """The shortest and the longest wait to advise, in seconds.
+
+        The turns refused in one second then come back over as long as the rate takes to admit them.
+        """
+        excess = self._refused.at(now) / max(self.rate, MIN_TURNS_PER_S)
+        longest = min(MAX_RETRY_AFTER_S, BASE_RETRY_AFTER_S * (1.0 + excess))
+        return longest / 2.0, longest
+
+    def report(self, now: float) -> dict[str, float]:
+        """For operators, in turns per second: the rate of the bucket, the demand, and the refused turns.
 
-    def figures(self, now: float) -> dict[str, float]:
-        """Turns a second: of the lesser admitted at most, asked, refused; and the worth's late part."""
+        `late` is the share of worth that is late.
+        """
         return {
-            "rate": round(self.rate, 2), "asked": round(self._asks(now), 2),
-            "refused": round(self._refused.at(now), 2), "late": round(self.late.at(now), 3),
-        }  # fmt: skip
+            "rate": round(self.rate, 2),
+            "asked": round(self._total_demand(now), 2),
+            "refused": round(self._refused.at(now), 2),
+            "late": round(self.lateness.at(now), 3),
+        }
--- a/yewhook/recovery/recovery.py
+++ b/yewhook/recovery/recovery.py
@@ -1,6 +1,8 @@
-"""One router's recovery: hears what its module hears, judges who was lost, holds the phase.
+"""The recovery of one router: estimates what a restart affected, tracks the phase, and admits turns.
 
-It speaks to the module through the levels' governor, which asks it; it keeps no clock of its own.
+It observes the events of the decision module and acts on the module through the governor of the levels of
+service, which calls it. "The register" is the service that lists the workers. All times are seconds on the
+caller's clock.
 """
 
 from __future__ import annotations
@@ -11,415 +13,489 @@
 from random import Random
 from typing import Any
 
-from hopshed import interface as i
+from hopshed import interface
 from hopshed.estimate import Estimate
 from hopshed.interface import ListKind, Outcome, Role, ServerState
 from hopshed.slow_start import WORK_RATE_TIME_CONSTANT_S
 
 from ..levels.estimators import DecayingRatio
 from ..levels.turns import RefusalLoss, Turn
-from .peer_messages import PeerMessage, Seen, choose
-from .phases import WAITS_FOR, WARM, Phase, PhaseEvidence, PhaseState
-from .ramp import LATE_SPAN, Ramp, Rank, rank
-from .restart_scope import Evidence, Scope, ScopeEstimate, estimate_scope
+from .peer_messages import PeerMessage, WorkerStatus, choose_workers
+from .phases import MIN_WARM_SHARE, NEXT_PHASE_CONDITIONS, Phase, PhaseEvidence, PhaseState
+from .ramp import LATE_TIME_CONSTANT_S, Ramp, Rank, rank
+from .restart_scope import RestartEvidence, Scope, ScopeEstimate, estimate_scope
 from .settings import RecoverySettings
-from .trust import LIVES, Fact, FactKind, Ledger, Source
+from .trust import MIN_RUNNING_BELIEF, Fact, FactKind, FactStore, Source
 
-FEW = 2.0  # turns, below which lateness says little
-FIRST_TURNS = 0.5  # turns a second for each usable server over all routers, where no pace is known
-ROUTER_HEARD = 5.0  # s for which a router's word counts it among those that serve
-LOST_FOR = 5.0  # s for which other routers are told of a worker from which nothing came back
-MISSED_FOR = 30.0  # s for which workers that a register's new beginning leaves out are kept
-LEVEL = "recovering"  # the module's word for why turns give way
-SEEN_ALIVE = frozenset({Outcome.OK, Outcome.READ, Outcome.FULL, Outcome.FAILED})
-SEEN_GONE = frozenset({Outcome.UNREACHABLE, Outcome.TIMED_OUT})
-Alive = dict[Role, int]
+MIN_LATENESS_TURNS = 2.0  # the late share is taken of at least so many, since few turns are no evidence
+DEFAULT_SERVER_TURNS_PER_S = 0.5  # of a usable server for all routers, where no earlier rate is known
+ROUTER_LIVENESS_S = 5.0  # after its last message, a router no longer counts as serving
+UNREACHABLE_REPORT_S = 5.0  # for which other routers are told that a worker was unreachable
+OMITTED_RETENTION_S = 30.0  # for which workers are kept that the list of a restarted register omits
+LEVEL_NAME = "recovering"  # the level of service that the module is told while service returns
+ALIVE_OUTCOMES = frozenset({Outcome.OK, Outcome.READ, Outcome.FULL, Outcome.FAILED})
+UNREACHABLE_OUTCOMES = frozenset({Outcome.UNREACHABLE, Outcome.TIMED_OUT})
+WorkerCounts = dict[Role, int]
 
 
 @dataclass(frozen=True, slots=True)
 class PreviousRun:
-    """What this router's snapshot says, on the clock of now."""
+    """The process that wrote this router's snapshot; times are on the present process's clock."""
 
-    wrote: float
-    same_boot: bool | None
-    clock_back: bool
-    generation: int
-    servers: tuple[i.Server, ...]
+    written_at: float  # s; negative infinity if the age of the snapshot is unknown
+    same_boot: bool | None  # whether the machine has not been rebooted since; None = unknown
+    clock_went_back: bool  # the wall clock shows an earlier time than the snapshot
+    generation: int  # of the register's list
+    servers: tuple[interface.Server, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class UsualTraffic:
-    """What this router did before, in full service."""
+    """The traffic of this router in full service, before the restart."""
 
-    turns: float  # a second that it sent on
-    servers: dict[Role, int]  # that there were
-    rates: dict[Role, float]  # sends of mean work a second to one of them
+    turns_per_s: float  # sent to servers
+    servers: dict[Role, int]  # number of servers by role
+    rates: dict[Role, float]  # sends of mean work per second to one server of the role
 
 
 def usual_traffic(
-    turns: float, servers: Mapping[Role, list[int]], sent: Mapping[int, Estimate], now: float
+    turns_per_s: float, servers: Mapping[Role, list[int]], sent: Mapping[int, Estimate], now: float
 ) -> UsualTraffic:
-    """`turns` a second that the router sent on; `sent` = the module's rates of what went to each server."""
+    """Summarizes the traffic; `sent` = the module's estimate of the work sent to each server."""
     rates = {}
     for role, numbers in servers.items():
         known = [sent[n].decayed(now, WORK_RATE_TIME_CONSTANT_S) for n in numbers if n in sent]
         if known:
             rates[role] = sum(known) / len(known)
-    return UsualTraffic(turns, {role: len(numbers) for role, numbers in servers.items()}, rates)
+    return UsualTraffic(turns_per_s, {role: len(numbers) for role, numbers in servers.items()}, rates)
 
 
 class Recovery:
+    """The recovery state of one router."""
+
     def __init__(
         self,
         settings: RecoverySettings,
-        module: i.Settings,
+        module: interface.Settings,
         now: float,
         random: Random,
-        say: Callable[[str, str], None] = lambda event, detail: None,
+        log: Callable[[str, str], None] = lambda event, detail: None,
     ) -> None:
-        """`say` = a line of the log."""
-        self.settings, self._module, self._say, self._random = settings, module, say, random
-        self.ledger = Ledger()
+        """`module` = settings of the decision module; `log` writes a log line of an event and its details."""
+        self.settings, self._module_settings, self.log, self._random = settings, module, log, random
+        self.facts = FactStore()
         self.scope_estimate = ScopeEstimate(Scope.UNKNOWN, ())
-        self.phase_state = PhaseState(Phase.NOTHING, now)
+        self.phase_state = PhaseState(Phase.NOTHING_KNOWN, now)
         self.ramp = Ramp(settings, [tenant.share for tenant in module.tenants], now)
-        self.began = now
-        self._past: PreviousRun | None = None
-        self._servers: dict[int, i.Server] = {}
-        self._starts: dict[int, float | None] = {}  # by the register, of workers that the past knows
+        self.started_at = now
+        self._previous_run: PreviousRun | None = None
+        self._servers: dict[int, interface.Server] = {}
+        # Start times from the register, of the workers that the snapshot names too
+        self._start_times: dict[int, float | None] = {}
         self._generation = 0
-        self._generation_back = self._register_spoke = False
-        self._missed: dict[int, float] = {}  # worker that a new beginning left out -> until when it is kept
-        self._routers: dict[int, tuple[float, float]] = {}  # other router -> up since, heard
-        self._proven: dict[int, float] = {}  # worker -> since when it warms up, where no list says
-        self._restarted: set[int] = set()  # workers that the register has told of since the loss
-        self._usual: UsualTraffic | None = None
-        self._rates_told = True
-        self._lost: dict[int, float] = {}  # worker -> when nothing came back from it
-        self._warm = 0.0
+        self._generation_went_back = self._register_heard = False
+        # Worker that the list of a restarted register omits -> time until which it is kept
+        self._omitted_until: dict[int, float] = {}
+        self._routers: dict[int, tuple[float, float]] = {}  # other router -> start time, last message
+        # Worker confirmed to run -> start of its slow start, used where the list has no start time
+        self._confirmed: dict[int, float] = {}
+        # Workers whose start after the snapshot the register has reported, until the list event arrives
+        self._restart_reported: set[int] = set()
+        self._usual_traffic: UsualTraffic | None = None
+        self._rates_sent = True
+        self._unreachable_at: dict[int, float] = {}  # worker -> time of the last attempt without a response
+        self._warm_share = 0.0
         self._mean_worth = 1.0
-        self._own_late = DecayingRatio(
-            LATE_SPAN, 0.0
-        )  # what other routers are told; theirs must not come round
+        # Other routers are told only of turns of this one, so that reports are not passed on in circles.
+        self._own_lateness = DecayingRatio(LATE_TIME_CONSTANT_S, 0.0)
 
     @property
     def active(self) -> bool:
+        """Whether full service has not been reached."""
         return self.phase_state.phase is not Phase.FULL
 
-    # ---- what is known from before ----
+    # ---- lists of workers ----
 
-    def load_previous_run(self, past: PreviousRun) -> None:
-        """Take this router's own snapshot into account; before the first list."""
-        self._past, self._generation = past, past.generation
-        for server in past.servers:
-            self._note_server(server, Source.SNAPSHOT, past.wrote)
+    def load_previous_run(self, previous_run: PreviousRun) -> None:
+        """Uses the data of this router's snapshot; to be called before the first list."""
+        self._previous_run, self._generation = previous_run, previous_run.generation
+        for server in previous_run.servers:
+            self._record_server(server, Source.SNAPSHOT, previous_run.written_at)
 
-    def begin(self, known: tuple[i.Server, ...], now: float) -> tuple[i.Server, ...]:
-        """What to begin with, before the register has spoken: the configuration's list and the snapshot's."""
+    def initial_servers(
+        self, known: tuple[interface.Server, ...], now: float
+    ) -> tuple[interface.Server, ...]:
+        """The workers to use until the register answers: those of the configuration and of the snapshot."""
         for server in known:
-            self._note_server(server, Source.KNOWN, now)
+            self._record_server(server, Source.CONFIGURATION, now)
         facts = (
-            self.ledger.best(FactKind.LISTED, n, now) for n in sorted(self.ledger.about(FactKind.LISTED))
+            self.facts.best(FactKind.LISTED, n, now) for n in sorted(self.facts.subjects(FactKind.LISTED))
+        )
+        return tuple(
+            self._with_drain(fact.value, True)
+            for fact in facts
+            if fact and isinstance(fact.value, interface.Server)
         )
-        return tuple(self._drained(f.value, True) for f in facts if f and isinstance(f.value, i.Server))
 
-    def _note_server(self, server: i.Server, source: Source, at: float) -> None:
-        note, n = self.ledger.note, server.id
-        note(Fact(FactKind.LISTED, n, server, source, at))
-        note(Fact(FactKind.STARTED, n, server.started, source, at))
+    def _record_server(self, server: interface.Server, source: Source, as_of: float) -> None:
+        record, n = self.facts.record, server.id
+        record(Fact(FactKind.LISTED, n, server, source, as_of))
+        record(Fact(FactKind.START_TIME, n, server.started, source, as_of))
         if server.state is ServerState.DRAINING:
-            note(Fact(FactKind.DRAIN, n, server.started, source, at))
+            record(Fact(FactKind.DRAIN, n, server.started, source, as_of))
         elif server.state is ServerState.RUNNING:
-            note(Fact(FactKind.RUNS, n, True, source, at))
+            record(Fact(FactKind.RUNNING, n, True, source, as_of))
 
     def merge_list(
-        self, kind: ListKind, servers: tuple[i.Server, ...], generation: int, now: float
-    ) -> tuple[i.Server, ...]:
-        """What the module is to take for the register's list.
-
-        A register that begins anew (it numbers from below, and leaves out most of what was held) does not
-        end workers by leaving them out, and a list from before a drain order does not end that."""
-        whole = kind is ListKind.FULL
-        back = whole and generation < self._generation
-        self._register_spoke = True
-        self._generation = generation if whole else max(generation, self._generation)
-        if back:
-            self._generation_back = True
-            self._say("register began anew", f"generation {generation}; what it leaves out is kept for now")
+        self, kind: ListKind, servers: tuple[interface.Server, ...], generation: int, now: float
+    ) -> tuple[interface.Server, ...]:
+        """The list that the module is given in place of the register's.
+
+        A register that restarted begins with a lower generation and an incomplete list. Workers that it omits
+        are kept for a while, and a list from before a drain order does not end the drain.
+        """
+        full = kind is ListKind.FULL
+        went_back = full and generation < self._generation
+        self._register_heard = True
+        self._generation = generation if full else max(generation, self._generation)
+        if went_back:
+            self._generation_went_back = True
+            self.log("register began anew", f"generation {generation}; omitted workers are kept for now")
         held = dict(self._servers)
-        if self._past is not None:
-            held = {s.id: s for s in self._past.servers} | held
-        named, ids = tuple(self._drained(server, back) for server in servers), {s.id for s in servers}
-        kept: tuple[i.Server, ...] = ()
-        if back:
-            left = held.keys() - ids
-            self._missed = {n: now + MISSED_FOR for n in left if held[n].state is not ServerState.GONE}
-        self._missed = {n: at for n, at in self._missed.items() if n not in ids}
-        if whole:
-            kept = tuple(held[n] for n in self._missed)
-        if whole and self._past is not None:
-            # Only what the register says: a list kept from before tells of the starts of before.
-            before = {server.id for server in self._past.servers}
-            self._starts = {server.id: server.started for server in named if server.id in before}
-        for server in named:
-            if server.id in self._starts:
-                self._starts[server.id] = server.started
-            self._note_server(server, Source.REGISTER, now)
+        if self._previous_run is not None:
+            held = {server.id: server for server in self._previous_run.servers} | held
+        listed, ids = (
+            tuple(self._with_drain(server, went_back) for server in servers),
+            {server.id for server in servers},
+        )
+        kept: tuple[interface.Server, ...] = ()
+        if went_back:
+            omitted = held.keys() - ids
+            self._omitted_until = {
+                n: now + OMITTED_RETENTION_S for n in omitted if held[n].state is not ServerState.GONE
+            }
+        self._omitted_until = {n: until for n, until in self._omitted_until.items() if n not in ids}
+        if full:
+            kept = tuple(held[n] for n in self._omitted_until)
+        if full and self._previous_run is not None:
+            # From the register only: the list of the configuration or of the snapshot holds earlier starts.
+            previous = {server.id for server in self._previous_run.servers}
+            self._start_times = {server.id: server.started for server in listed if server.id in previous}
+        for server in listed:
+            if server.id in self._start_times:
+                self._start_times[server.id] = server.started
+            self._record_server(server, Source.REGISTER, now)
             if server.state is ServerState.GONE:
-                self.ledger.forget(server.id)
-            elif self._began_since(server):  # somebody has told the register of it since the loss
-                self._restarted.add(server.id)
-        return named + kept
-
-    def _began_since(self, server: i.Server) -> bool:
-        """Whether its process is a new one since this router's snapshot."""
-        return self._past is not None and server.started is not None and server.started > self._past.wrote
-
-    def _drained(self, server: i.Server, back: bool) -> i.Server:
-        """A drain ends by the register's later word or with its process, not by a list from before it."""
-        order = self.ledger.best(FactKind.DRAIN, server.id, self.began)
+                self.facts.forget(server.id)
+            elif self._started_since_snapshot(server):  # the register has heard of it since the loss
+                self._restart_reported.add(server.id)
+        return listed + kept
+
+    def _started_since_snapshot(self, server: interface.Server) -> bool:
+        """Whether the worker's process started after this router's snapshot was written."""
+        return (
+            self._previous_run is not None
+            and server.started is not None
+            and server.started > self._previous_run.written_at
+        )
+
+    def _with_drain(self, server: interface.Server, went_back: bool) -> interface.Server:
+        """The server, draining if an order to drain is still in force.
+
+        A later list of the register or a new process of the worker ends the order; an older list does not.
+        """
+        order = self.facts.best(FactKind.DRAIN, server.id, self.started_at)
         if order is None or server.state is not ServerState.RUNNING:
             return server
-        began_after = server.started is not None and server.started != order.value
-        from_before = order.source is Source.SNAPSHOT and self._generation_back
-        if began_after or not (back or from_before):
-            self.ledger.end(FactKind.DRAIN, server.id)
+        restarted = server.started is not None and server.started != order.value
+        list_is_older = order.source is Source.SNAPSHOT and self._generation_went_back
+        if restarted or not (went_back or list_is_older):
+            self.facts.remove(FactKind.DRAIN, server.id)
             return server
         return server._replace(state=ServerState.DRAINING)
 
     @property
     def draining_workers(self) -> frozenset[int]:
         """Workers that are told to drain."""
-        return frozenset(n for n, s in self._servers.items() if s.state is ServerState.DRAINING)
-
-    def missed(self, now: float) -> tuple[i.Server, ...]:
-        """Workers whose time is over that a register's new beginning left out: they are gone."""
-        over = [n for n, until in self._missed.items() if now >= until]
-        for n in over:
-            del self._missed[n]
-        known = (self._servers[n] for n in over if n in self._servers)
+        return frozenset(n for n, server in self._servers.items() if server.state is ServerState.DRAINING)
+
+    def expire_omitted(self, now: float) -> tuple[interface.Server, ...]:
+        """The workers, now gone, that a restarted register omitted and whose retention has ended."""
+        expired = [n for n, until in self._omitted_until.items() if now >= until]
+        for n in expired:
+            del self._omitted_until[n]
+        known = (self._servers[n] for n in expired if n in self._servers)
         return tuple(server._replace(state=ServerState.GONE) for server in known)
 
-    # ---- what is heard ----
-
-    def observe(self, event: i.Event, now: float) -> None:
-        if isinstance(event, i.ServersListed):
-            self._listed(event)
-        elif isinstance(event, i.StreamStarted):
-            self._alive(event.server, now)
-        elif isinstance(event, i.AttemptEnded):
-            if event.outcome in SEEN_ALIVE:
-                self._alive(event.server, now)
-            elif event.outcome in SEEN_GONE:
-                self._gone(event.server, now)
-
-    def _alive(self, server: int, now: float) -> None:
-        self.ledger.note(Fact(FactKind.RUNS, server, True, Source.ANSWERS, now))
-        self._lost.pop(server, None)
-        self._prove(server, now)
-
-    def _prove(self, number: int, now: float) -> None:
-        """It has answered somebody: it counts as one that runs until it is listed anew, or found gone."""
-        if (server := self._servers.get(number)) is not None and number not in self._proven:
-            self._proven[number] = now if server.started is None and not self._text_stands else -math.inf
-
-    def _gone(self, server: int, now: float) -> None:
-        """Nothing came back; of a worker that has answered somebody lately, that says little."""
-        if self.ledger.belief(FactKind.RUNS, server, now) <= LIVES / 2 or not self._shown(server, now):
-            self.ledger.end(FactKind.RUNS, server)
-            self._proven.pop(server, None)
-            self._lost[server] = now
-        if server in self._missed:
-            self._missed[server] = now
-
-    def _listed(self, event: i.ServersListed) -> None:
+    # ---- events and messages ----
+
+    def observe(self, event: interface.Event, now: float) -> None:
+        """Takes an event of the decision module into account."""
+        if isinstance(event, interface.ServersListed):
+            self._servers_listed(event)
+        elif isinstance(event, interface.StreamStarted):
+            self._worker_answered(event.server, now)
+        elif isinstance(event, interface.AttemptEnded):
+            if event.outcome in ALIVE_OUTCOMES:
+                self._worker_answered(event.server, now)
+            elif event.outcome in UNREACHABLE_OUTCOMES:
+                self._worker_unreachable(event.server, now)
+
+    def _worker_answered(self, server: int, now: float) -> None:
+        self.facts.record(Fact(FactKind.RUNNING, server, True, Source.ANSWERS, now))
+        self._unreachable_at.pop(server, None)
+        self._confirm(server, now)
+
+    def _confirm(self, number: int, now: float) -> None:
+        """A router had an answer: the worker counts as running until it restarts or becomes unreachable."""
+        if (server := self._servers.get(number)) is not None and number not in self._confirmed:
+            self._confirmed[number] = (
+                now if server.started is None and not self._caches_survived else -math.inf
+            )
+
+    def _worker_unreachable(self, server: int, now: float) -> None:
+        """An attempt had no response; this is ignored if a router had a recent answer of the worker."""
+        if self.facts.belief(
+            FactKind.RUNNING, server, now
+        ) <= MIN_RUNNING_BELIEF / 2 or not self._seen_running(server, now):
+            self.facts.remove(FactKind.RUNNING, server)
+            self._confirmed.pop(server, None)
+            self._unreachable_at[server] = now
+        if server in self._omitted_until:
+            self._omitted_until[server] = now
+
+    def _servers_listed(self, event: interface.ServersListed) -> None:
         if event.kind is ListKind.FAILED:
             return
-        named = {server.id: server for server in event.servers}
+        listed = {server.id: server for server in event.servers}
         if event.kind is not ListKind.CHANGES:
-            self._servers = {n: s for n, s in self._servers.items() if n in named}
-        for number, server in named.items():
+            self._servers = {n: server for n, server in self._servers.items() if n in listed}
+        for number, server in listed.items():
             old = self._servers.get(number)
             if server.state is not ServerState.RUNNING or (old and old.started != server.started):
-                self._proven.pop(number, None)
-        self._servers |= named
-        for number in self._restarted & named.keys():
-            self._proven.setdefault(number, -math.inf)
-        self._restarted -= named.keys()
-
-    def turn_ended(self, turn: Turn, late: bool, sent: bool, top: bool, now: float) -> None:
-        """A turn's first answer has come, late or not, or never. Of the lesser ones what no server had says
-        nothing; of the worthiest, it says that others took their place."""
-        if sent or top:
-            self.ramp.late.add(turn.worth, late, now)
-            self._own_late.add(turn.worth, late, now)
-
-    def message_received(self, sender: int, word: PeerMessage, now: float) -> None:
-        """Another router's word."""
-        self._routers[sender] = (now - word.up_for, now)
-        count = sum(now - heard < ROUTER_HEARD for _, heard in self._routers.values()) + 1
-        self.ledger.note(Fact(FactKind.ROUTERS, 0, count, Source.PEERS, now))
-        self.ramp.late.add(word.turns * self._mean_worth * word.late, True, now)
-        self.ramp.late.add(word.turns * self._mean_worth * (1.0 - word.late), False, now)
-        for seen in word.workers:
-            at = now - seen.age
-            if seen.runs and seen.server in self._servers:
-                self.ledger.note(Fact(FactKind.RUNS, seen.server, True, Source.PEERS, at))
-                self._prove(seen.server, now)
+                self._confirmed.pop(number, None)
+        self._servers |= listed
+        for number in self._restart_reported & listed.keys():
+            self._confirmed.setdefault(number, -math.inf)
+        self._restart_reported -= listed.keys()
+
+    def turn_ended(self, turn: Turn, late: bool, sent: bool, top_class: bool, now: float) -> None:
+        """The first token of a turn's answer was sent, late or not, or the turn ended without any.
+
+        A turn that was never sent says nothing about the load, unless it is of the top class: then turns of
+        other classes took its place.
+        """
+        if sent or top_class:
+            self.ramp.lateness.add(turn.worth, late, now)
+            self._own_lateness.add(turn.worth, late, now)
+
+    def message_received(self, sender: int, message: PeerMessage, now: float) -> None:
+        """Takes a message of another router into account."""
+        self._routers[sender] = (now - message.uptime, now)
+        count = sum(now - heard < ROUTER_LIVENESS_S for _, heard in self._routers.values()) + 1
+        self.facts.record(Fact(FactKind.ROUTER_COUNT, 0, count, Source.PEERS, now))
+        self.ramp.lateness.add(message.sampled_turns * self._mean_worth * message.late_share, True, now)
+        self.ramp.lateness.add(
+            message.sampled_turns * self._mean_worth * (1.0 - message.late_share), False, now
+        )
+        for status in message.workers:
+            as_of = now - status.age
+            if status.running and status.server in self._servers:
+                self.facts.record(Fact(FactKind.RUNNING, status.server, True, Source.PEERS, as_of))
+                self._confirm(status.server, now)
 
     def message(self, asks: bool, now: float) -> PeerMessage:
-        """What this router tells of itself and of the workers that it has met lately."""
-        met = (self.ledger.best(FactKind.RUNS, n, now) for n in self.ledger.about(FactKind.RUNS))
-        seen = [Seen(f.about, True, now - f.at) for f in met if f and f.source is Source.ANSWERS]
-        seen += [Seen(n, False, now - at) for n, at in self._lost.items() if now - at < LOST_FOR]
-        late, worth = self._own_late.at(now), self._own_late.all.decayed(now, LATE_SPAN)
-        workers, turns = choose(seen, self._random), worth / max(self._mean_worth, 1e-9)
-        return PeerMessage(asks, self.phase_state.phase, now - self.began, workers, late, turns)
-
-    def _shown(self, server: int, now: float) -> bool:
-        fact = self.ledger.best(FactKind.RUNS, server, now)
+        """The message to other routers on this one and the workers that it tried lately."""
+        running = (self.facts.best(FactKind.RUNNING, n, now) for n in self.facts.subjects(FactKind.RUNNING))
+        statuses = [
+            WorkerStatus(fact.subject, True, now - fact.as_of)
+            for fact in running
+            if fact and fact.source is Source.ANSWERS
+        ]
+        statuses += [
+            WorkerStatus(n, False, now - at)
+            for n, at in self._unreachable_at.items()
+            if now - at < UNREACHABLE_REPORT_S
+        ]
+        late_share, worth = (
+            self._own_lateness.at(now),
+            self._own_lateness.all.decayed(now, LATE_TIME_CONSTANT_S),
+        )
+        workers, turns = choose_workers(statuses, self._random), worth / max(self._mean_worth, 1e-9)
+        return PeerMessage(asks, self.phase_state.phase, now - self.started_at, workers, late_share, turns)
+
+    def _seen_running(self, server: int, now: float) -> bool:
+        """Whether the best evidence that the worker runs is an answer to this or another router."""
+        fact = self.facts.best(FactKind.RUNNING, server, now)
         return fact is not None and fact.source in (Source.ANSWERS, Source.PEERS)
 
-    # ---- looks ----
+    # ---- evaluation ----
 
     def set_usual_traffic(self, usual: UsualTraffic) -> None:
-        """What was usual before, by this router's snapshot."""
-        self._usual, self._rates_told = usual, False
+        """Sets the traffic before the restart, from this router's snapshot."""
+        self._usual_traffic, self._rates_sent = usual, False
 
-    def update(self, now: float, sight: dict[Role, i.RoleUsage], mean_worth: float) -> None:
-        self._judge(now)
+    def update(self, now: float, usage: dict[Role, interface.RoleUsage], mean_worth: float) -> None:
+        """Evaluates the evidence; to be called periodically. `mean_worth` = of a turn."""
+        self._update_scope(now)
         self._mean_worth = mean_worth
-        self.ramp.late.min_total = FEW * mean_worth
-        seen = self._sight(now, sight)
-        before, self.phase_state = self.phase_state, self.phase_state.step(seen, now, self.settings.calm)
+        self.ramp.lateness.min_total = MIN_LATENESS_TURNS * mean_worth
+        evidence = self._phase_evidence(now, usage)
+        before, self.phase_state = (
+            self.phase_state,
+            self.phase_state.step(evidence, now, self.settings.calm),
+        )
         if self.phase_state.phase is not before.phase:
-            why = f"after {now - before.since:.1f} s, {round(100 * seen.warm)}% of what is known is warm"
-            self._say("recovery phase", f"{before.phase.label} to {self.phase_state.phase.label}: {why}")
-        warm = self._shown_to_do(self._able(now))
-        self.ramp.look(now, warm, self.phase_state.phase >= Phase.TRICKLE)
-
-    def _judge(self, now: float) -> None:
-        past = self._past
-        if past is None or not (self._starts or self._routers):
+            why = (
+                f"after {now - before.since:.1f} s, "
+                f"{round(100 * evidence.warm_share)}% of the known capacity is warm"
+            )
+            self.log("recovery phase", f"{before.phase.label} to {self.phase_state.phase.label}: {why}")
+        proven = self._proven_turn_rate(self._warm_capacity(now))
+        self.ramp.update(now, proven, self.phase_state.phase >= Phase.TRICKLE)
+
+    def _update_scope(self, now: float) -> None:
+        previous_run = self._previous_run
+        if previous_run is None or not (self._start_times or self._routers):
             return
-        since = [up for up, heard in self._routers.values()]
-        evidence = Evidence(
-            past.wrote, past.same_boot, past.clock_back, self._starts, self._generation_back,
-            sum(up <= past.wrote for up in since), sum(up > past.wrote for up in since),
-        )  # fmt: skip
-        verdict = estimate_scope(evidence)
-        changed = verdict.scope is not self.scope_estimate.scope or not self.scope_estimate.why
-        self.scope_estimate = verdict
+        up_since = [up for up, heard in self._routers.values()]
+        evidence = RestartEvidence(
+            previous_run.written_at,
+            previous_run.same_boot,
+            previous_run.clock_went_back,
+            self._start_times,
+            self._generation_went_back,
+            sum(up <= previous_run.written_at for up in up_since),
+            sum(up > previous_run.written_at for up in up_since),
+        )
+        estimate = estimate_scope(evidence)
+        changed = estimate.scope is not self.scope_estimate.scope or not self.scope_estimate.reasons
+        self.scope_estimate = estimate
         if changed:
-            self._say("restart judged", str(verdict))
-
-    def _sight(self, now: float, sight: dict[Role, i.RoleUsage]) -> PhaseEvidence:
-        mixed = sight[Role.MIXED]
-        stages = [(sight[role].usable + mixed.usable, sight[role].listed + mixed.listed)
-                  for role in (Role.READER, Role.WRITER)]  # fmt: skip
-        self._warm = min(usable / listed if listed else 0.0 for usable, listed in stages)
+            self.log("restart judged", str(estimate))
+
+    def _phase_evidence(self, now: float, usage: dict[Role, interface.RoleUsage]) -> PhaseEvidence:
+        mixed = usage[Role.MIXED]
+        stages = [
+            (usage[role].usable + mixed.usable, usage[role].listed + mixed.listed)
+            for role in (Role.READER, Role.WRITER)
+        ]
+        self._warm_share = min(usable / listed if listed else 0.0 for usable, listed in stages)
         alive = self.workers_alive()
-        proven = bool(alive[Role.MIXED] or (alive[Role.READER] and alive[Role.WRITER]))
+        confirmed = bool(alive[Role.MIXED] or (alive[Role.READER] and alive[Role.WRITER]))
         return PhaseEvidence(
-            path=all(listed for _, listed in stages),
-            proven=proven,
-            late=self.ramp.late.at(now) >= self.settings.late,
-            fits=self.ramp.fits(now),
-            warm=self._warm,
-            alone=self.scope_estimate.scope is Scope.ALONE or self._first_start(now),
+            path_listed=all(listed for _, listed in stages),
+            path_confirmed=confirmed,
+            late=self.ramp.lateness.at(now) >= self.settings.late,
+            all_admitted=self.ramp.all_admitted(now),
+            warm_share=self._warm_share,
+            only_this_router=self.scope_estimate.scope is Scope.THIS_ROUTER or self._joins_warm_fleet(now),
         )
 
-    def _first_start(self, now: float) -> bool:
-        """Nothing is known of before, and by the register the fleet has run for long."""
-        if self._past is not None or not self._register_spoke:
+    def _joins_warm_fleet(self, now: float) -> bool:
+        """Whether there is no snapshot, and the register lists workers that have been running for long."""
+        if self._previous_run is not None or not self._register_heard:
             return False
-        began = [s.started for s in self._servers.values() if s.state is ServerState.RUNNING]
-        cold = sum(at is not None and now - at < self._module.cold_time for at in began)
-        return cold <= (1.0 - WARM) * len(began)
-
-    def workers_alive(self) -> Alive:
-        """Workers of each role that have shown themselves, to this router or to another one."""
-        found = dict.fromkeys(Role, 0)
-        for server in self._shown_servers():
-            found[self._module.roles[server.kind]] += 1
-        return found
-
-    def _shown_servers(self) -> list[i.Server]:
-        known = (self._servers[n] for n in self._proven if n in self._servers)
+        start_times = [
+            server.started for server in self._servers.values() if server.state is ServerState.RUNNING
+        ]
+        cold = sum(at is not None and now - at < self._module_settings.cold_time for at in start_times)
+        return cold <= (1.0 - MIN_WARM_SHARE) * len(start_times)
+
+    def workers_alive(self) -> WorkerCounts:
+        """The number of workers of each role that are confirmed to run, by this router or another one."""
+        counts = dict.fromkeys(Role, 0)
+        for server in self._confirmed_servers():
+            counts[self._module_settings.roles[server.kind]] += 1
+        return counts
+
+    def _confirmed_servers(self) -> list[interface.Server]:
+        known = (self._servers[n] for n in self._confirmed if n in self._servers)
         return [server for server in known if server.state is ServerState.RUNNING]
 
-    def _able(self, now: float) -> dict[Role, float]:
-        """Of those the least part of their capacity that is warm by now."""
-        found = dict.fromkeys(Role, 0.0)
-        s = self._module
-        for server in self._shown_servers():
-            began = self._proven[server.id] if server.started is None else server.started
-            warm = min(1.0, (now - began) / (s.cold_time or 1.0))
-            found[s.roles[server.kind]] += s.cold_from + (1.0 - s.cold_from) * warm
-        return found
-
-    def _shown_to_do(self, able: dict[Role, float]) -> float:
-        """Turns a second that this router's part of the warm servers has been shown to do; where nothing is
-        known from before, a turn now and then for each."""
-        if self._usual is None:
-            return FIRST_TURNS * sum(able.values()) / self._module.instances
-        return self._usual.turns * min(1.0, self._part(able, self._usual.servers))
+    def _warm_capacity(self, now: float) -> dict[Role, float]:
+        """The warm capacity of the confirmed workers by role, at the least; one warm worker counts as 1."""
+        capacity = dict.fromkeys(Role, 0.0)
+        settings = self._module_settings
+        for server in self._confirmed_servers():
+            started = self._confirmed[server.id] if server.started is None else server.started
+            progress = min(1.0, (now - started) / (settings.cold_time or 1.0))
+            capacity[settings.roles[server.kind]] += (
+                settings.cold_from + (1.0 - settings.cold_from) * progress
+            )
+        return capacity
+
+    def _proven_turn_rate(self, capacity: dict[Role, float]) -> float:
+        """Turns per second that this router's part of the warm capacity served before the restart.
+
+        Without data from before, a low default for each worker.
+        """
+        if self._usual_traffic is None:
+            return DEFAULT_SERVER_TURNS_PER_S * sum(capacity.values()) / self._module_settings.instances
+        return self._usual_traffic.turns_per_s * min(
+            1.0, self._capacity_share(capacity, self._usual_traffic.servers)
+        )
 
     @staticmethod
-    def _part(able: dict[Role, float], before: dict[Role, int]) -> float:
-        """What is warm over what there was before, at the scarcer stage."""
+    def _capacity_share(capacity: dict[Role, float], before: dict[Role, int]) -> float:
+        """The warm capacity relative to the number of workers before, at the scarcer of the two stages."""
 
-        def both(of: Mapping[Role, float], role: Role) -> float:
-            return of.get(role, 0.0) + of.get(Role.MIXED, 0.0)
+        def with_mixed(counts: Mapping[Role, float], role: Role) -> float:
+            return counts.get(role, 0.0) + counts.get(Role.MIXED, 0.0)
 
-        return min(both(able, role) / max(1.0, both(before, role)) for role in (Role.READER, Role.WRITER))
+        return min(
+            with_mixed(capacity, role) / max(1.0, with_mixed(before, role))
+            for role in (Role.READER, Role.WRITER)
+        )
 
-    # ---- what it asks of the module ----
+    # ---- effects on the module ----
 
-    def admits(self, turn: Turn, top: frozenset[int], now: float) -> bool:
+    def admits(self, turn: Turn, top_classes: frozenset[int], now: float) -> bool:
+        """Whether an arriving turn is admitted; `top_classes` = classes of the highest worth per work."""
         phase = self.phase_state.phase
         if phase is Phase.FULL:
             return True
-        if not self._text_stands and turn.kind.refusal_loss is RefusalLoss.OPEN_SESSION:
+        if not self._caches_survived and turn.kind.refusal_loss is RefusalLoss.OPEN_SESSION:
             turn = replace(turn, kind=turn.kind._replace(refusal_loss=RefusalLoss.NEW_SESSION))
-        if phase is Phase.NOTHING:
-            return rank(turn.kind, top) is Rank.BACK
-        return self.ramp.admits(turn, top, now)
+        if phase is Phase.NOTHING_KNOWN:
+            return rank(turn.kind, top_classes) is Rank.RESUMED_STREAM
+        return self.ramp.admits(turn, top_classes, now)
 
     @property
-    def _text_stands(self) -> bool:
-        """Whether what was kept before this start can be there still."""
-        return self.scope_estimate.scope is Scope.ALONE
+    def _caches_survived(self) -> bool:
+        """Whether workers can still hold the text that was cached before this process started."""
+        return self.scope_estimate.scope is Scope.THIS_ROUTER
 
-    def warm_rates(self) -> list[i.Event]:
-        """What the module is to know of before, once; its budgets for cold workers go by warm ones."""
-        if self._rates_told or self._usual is None:
+    def warm_rates(self) -> list[interface.Event]:
+        """The event with the earlier rates of warm servers, once; the module limits cold servers by them."""
+        if self._rates_sent or self._usual_traffic is None:
             return []
-        self._rates_told = True
-        return [i.WarmRates(tuple(self._usual.rates.items()))]
+        self._rates_sent = True
+        return [interface.WarmRates(tuple(self._usual_traffic.rates.items()))]
 
-    def service_level(self, now: float) -> i.ServiceLevel:
-        """What the module goes by while service returns."""
+    def service_level(self, now: float) -> interface.ServiceLevel:
+        """The level of service that the module is told while service returns."""
         least, most = self.ramp.retry_after(now)
-        return i.ServiceLevel(LEVEL, (round(least, 1), round(most, 1)), False)
+        return interface.ServiceLevel(LEVEL_NAME, (round(least, 1), round(most, 1)), False)
 
     # ---- operators ----
 
     def report(self, now: float) -> dict[str, Any]:
-        past = self._past
+        """The state of the recovery for operators."""
+        previous_run = self._previous_run
         by_source: dict[str, int] = {}
-        for number in self.ledger.about(FactKind.LISTED):
-            if (fact := self.ledger.best(FactKind.LISTED, number, now)) is not None:
+        for number in self.facts.subjects(FactKind.LISTED):
+            if (fact := self.facts.best(FactKind.LISTED, number, now)) is not None:
                 by_source[fact.source.value] = by_source.get(fact.source.value, 0) + 1
         return {
             "phase": self.phase_state.phase.label,
             "since_s": round(now - self.phase_state.since, 1),
-            "waits_for": WAITS_FOR[self.phase_state.phase],
+            "waits_for": NEXT_PHASE_CONDITIONS[self.phase_state.phase],
             "judged": str(self.scope_estimate),
-            "snapshot_age_s": round(now - past.wrote, 1) if past is not None else None,
+            "snapshot_age_s": round(now - previous_run.written_at, 1) if previous_run is not None else None,
             "workers_by_source": by_source,
             "alive": {role.value: count for role, count in self.workers_alive().items()},
-            "warm": round(self._warm, 3),
+            "warm": round(self._warm_share, 3),
             "routers": len(self._routers) + 1,
-            "admits": self.ramp.figures(now),
+            "admits": self.ramp.report(now),
         }
--- a/yewhook/recovery/restart_scope.py
+++ b/yewhook/recovery/restart_scope.py
@@ -1,4 +1,7 @@
-"""Whether only this router was restarted, or the whole fleet lost its power. No I/O."""
+"""Estimates whether only this router was restarted, or the whole fleet lost its power. No I/O.
+
+"The register" is the service that lists the workers; its lists are numbered by a generation.
+"""
 
 from __future__ import annotations
 
@@ -6,61 +9,78 @@
 from dataclasses import dataclass
 from enum import Enum
 
-AFTER = 1.0  # s that clocks may differ, beyond which a worker's start counts as later than the snapshot
-MOST = 0.5  # part of the workers that speaks for a loss of all of them
-SURE = 1.0  # weight at which a side is taken
+CLOCK_TOLERANCE_S = 1.0  # a worker's start counts as later than the snapshot beyond this difference
+FLEET_RESTART_SHARE = 0.5  # of the workers, restarted, from which on all count as having lost power
+DECISION_WEIGHT = 1.0  # total weight of evidence that decides for either scope
 
 
 class Scope(Enum):
+    """What was restarted."""
+
     UNKNOWN = "unknown"
-    ALONE = "only this router"
+    THIS_ROUTER = "only this router"
     FLEET = "the whole fleet"
 
 
 @dataclass(frozen=True, slots=True)
-class Evidence:
-    """What is seen at one moment; times are s on one clock, None where nothing is known."""
+class RestartEvidence:
+    """The evidence at one moment; times are seconds on one clock, None = unknown."""
 
-    wrote: float | None  # when this router's snapshot was written
-    same_boot: bool | None  # whether the machine has run since then
-    clock_back: bool = False  # the snapshot's time lies in the future: a clock has jumped
-    starts: Mapping[int, float | None] | None = None  # of the workers that the list and the snapshot share
-    generation_back: bool = False  # the register numbers from below what was held
-    up_longer: int = 0  # routers that have been up since before the snapshot
-    up_since: int = 0  # routers that came up after it
+    snapshot_written_at: float | None  # of this router's snapshot
+    same_boot: bool | None  # whether the machine has not been rebooted since the snapshot
+    clock_went_back: bool = False  # the snapshot's time is in the future, so a clock has jumped
+    start_times: Mapping[int, float | None] | None = None  # of workers that list and snapshot both name
+    generation_went_back: bool = False  # the register's list has a lower generation than the snapshot's
+    routers_up_before: int = 0  # routers that started before the snapshot was written
+    routers_up_after: int = 0  # routers that started after it was written
 
 
 @dataclass(frozen=True, slots=True)
 class ScopeEstimate:
+    """The estimated scope with the evidence behind it."""
+
     scope: Scope
-    why: tuple[str, ...]
+    reasons: tuple[str, ...]
 
     def __str__(self) -> str:
-        return f"{self.scope.value}: {'; '.join(self.why) or 'no evidence'}"
+        return f"{self.scope.value}: {'; '.join(self.reasons) or 'no evidence'}"
 
 
-def estimate_scope(seen: Evidence) -> ScopeEstimate:
-    """Weigh what speaks for the fleet's loss (over 0) and for this router's alone (under 0)."""
-    if seen.wrote is None:
+def estimate_scope(evidence: RestartEvidence) -> ScopeEstimate:
+    """Sums up weights: positive ones for a loss of the whole fleet, negative ones for this router alone."""
+    if evidence.snapshot_written_at is None:
         return ScopeEstimate(Scope.UNKNOWN, ("no snapshot",))
     parts: list[tuple[float, str]] = []
-    if seen.starts and not seen.clock_back:
-        began = sum(at is not None and at > seen.wrote + AFTER for at in seen.starts.values())
-        if began / len(seen.starts) >= MOST:
-            parts.append((1.0, f"{began} of {len(seen.starts)} workers began after the snapshot"))
+    if evidence.start_times and not evidence.clock_went_back:
+        restarted = sum(
+            at is not None and at > evidence.snapshot_written_at + CLOCK_TOLERANCE_S
+            for at in evidence.start_times.values()
+        )
+        if restarted / len(evidence.start_times) >= FLEET_RESTART_SHARE:
+            parts.append(
+                (1.0, f"{restarted} of {len(evidence.start_times)} workers began after the snapshot")
+            )
         else:
-            kept = len(seen.starts) - began
-            parts.append((-1.0, f"{kept} of {len(seen.starts)} workers run since before the snapshot"))
-    if seen.same_boot is False:
+            kept = len(evidence.start_times) - restarted
+            parts.append(
+                (-1.0, f"{kept} of {len(evidence.start_times)} workers run since before the snapshot")
+            )
+    if evidence.same_boot is False:
         parts.append((0.5, "this machine was started anew"))
-    elif seen.same_boot:
-        parts.append((-0.25, "this machine has run on"))
-    if seen.generation_back:
-        parts.append((0.5, "the register numbers from below"))
-    if seen.up_longer:
-        parts.append((-1.0, f"{seen.up_longer} routers are up since before the snapshot"))
-    elif seen.up_since:
-        parts.append((0.5, f"{seen.up_since} other routers came up after it, none before"))
-    weight = sum(one for one, _ in parts)
-    scope = Scope.FLEET if weight >= SURE else Scope.ALONE if weight <= -SURE else Scope.UNKNOWN
-    return ScopeEstimate(scope, tuple(why for _, why in parts))
+    elif evidence.same_boot:
+        parts.append((-0.25, "this machine was not rebooted"))
+    if evidence.generation_went_back:
+        parts.append((0.5, "the register's generation went back"))
+    if evidence.routers_up_before:
+        parts.append((-1.0, f"{evidence.routers_up_before} routers are up since before the snapshot"))
+    elif evidence.routers_up_after:
+        parts.append((0.5, f"{evidence.routers_up_after} other routers started after it, none before"))
+    weight = sum(part_weight for part_weight, _ in parts)
+    scope = (
+        Scope.FLEET
+        if weight >= DECISION_WEIGHT
+        else Scope.THIS_ROUTER
+        if weight <= -DECISION_WEIGHT
+        else Scope.UNKNOWN
+    )
+    return ScopeEstimate(scope, tuple(reason for _, reason in parts))
--- a/yewhook/recovery/snapshot.py
+++ b/yewhook/recovery/snapshot.py
@@ -1,6 +1,7 @@
-"""What a process leaves for the one after it: its form, whose it is, and how old. No I/O.
+"""The snapshot that a process leaves for its successor: encoding, the fleet it belongs to, and age. No I/O.
 
-It shares form and reading with the hand-over between two processes."""
+It is encoded and checked in the same way as the hand-over between two processes.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +14,14 @@
 from ..config import Names
 from ..operations.handover_encoding import DecodeError, HandOver, decode_checked, encode_checked
 
-NAME = b"yewhook-snapshot"
-AHEAD = 1.0  # s by which a snapshot's time may lie before us, for clocks are set
+NAME = b"yewhook-snapshot"  # the mark that an encoded snapshot begins with
+CLOCK_TOLERANCE_S = 1.0  # by which a snapshot's time may be in the future, since clocks are adjusted
 
 
 @dataclass(frozen=True, slots=True)
 class Pinned:
+    """A level of service that operators pinned."""
+
     level: str
     until: float  # Unix s
     reason: str
@@ -26,35 +29,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    fleet: str  # whose settings it was made for
+    """The state of one router process at one moment."""
+
+    fleet: str  # id of the fleet's settings, see `fleet_id`
     wall: float  # Unix s when it was made
-    boot: str  # the machine's id of that run
-    turns: float  # a second that this router sent on in full service
+    boot: str  # the machine's boot id
+    turns: float  # per second that this router sent to servers in full service
     state: HandOver
     pin: Pinned | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Clocks:
-    """The clocks of one moment."""
+    """The clocks at one moment."""
 
     wall: float  # Unix s
-    steady: float  # s; begins anew with the machine
-    boot: str
+    monotonic: float  # s; starts again when the machine boots
+    boot: str  # the machine's boot id
 
 
 def fleet_id(settings: Settings, names: Names) -> str:
-    """The same for two processes that mean the same by classes, kinds, clients and zones."""
-    said = repr((names.classes, names.tenants, names.zones, names.kinds, settings.roles))
-    return blake2b(said.encode(), digest_size=8).hexdigest()
+    """A hash, equal for processes that number classes, kinds, clients and zones in the same way."""
+    text = repr((names.classes, names.tenants, names.zones, names.kinds, settings.roles))
+    return blake2b(text.encode(), digest_size=8).hexdigest()
 
 
 def pack(snapshot: Snapshot) -> bytes:
+    """Encodes a snapshot."""
     return encode_checked(NAME, snapshot)
 
 
 def unpack(data: bytes, fleet: str) -> Snapshot:
-    """Raises DecodeError where it can't be read, or is another fleet's."""
+    """Decodes a snapshot. Raises DecodeError if it is damaged or belongs to another fleet."""
     snapshot = decode_checked(NAME, "snapshot", data, Snapshot)
     if snapshot.fleet != fleet:
         raise DecodeError(f"of a fleet with other settings ({snapshot.fleet}, and ours is {fleet})")
@@ -62,10 +68,11 @@
 
 
 def age(snapshot: Snapshot, now: Clocks) -> float:
-    """s since it was made; NaN where a clock has jumped, so that nobody can say.
-
-    Within one run of the machine the steady clock tells, whatever the other one does."""
-    if snapshot.boot == now.boot and snapshot.state.at <= now.steady:
-        return now.steady - snapshot.state.at
-    passed = now.wall - snapshot.wall
-    return math.nan if passed < -AHEAD else max(0.0, passed)
+    """The age in seconds; NaN if it is unknown because the wall clock went back.
+
+    Within one boot of the machine the monotonic clock determines it, whatever the wall clock does.
+    """
+    if snapshot.boot == now.boot and snapshot.state.at <= now.monotonic:
+        return now.monotonic - snapshot.state.at
+    elapsed = now.wall - snapshot.wall
+    return math.nan if elapsed < -CLOCK_TOLERANCE_S else max(0.0, elapsed)
--- a/yewhook/recovery/snapshot_store.py
+++ b/yewhook/recovery/snapshot_store.py
@@ -1,4 +1,4 @@
-"""The recovery at the edge of a process: its snapshots, its words to others, what it tells the core."""
+"""Connects the recovery to a process: snapshots on disk, messages to other routers, and the router core."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
-from hopshed import interface as i
+from hopshed import interface
 from hopshed.interface import ListKind, Role
 
 from ..config import Names
@@ -28,227 +28,252 @@
     from ..core.router import Router
     from ..levels.governor import Governor
 
-NAME = "snapshot"
-LOOK_EVERY = 0.1  # s between looks at what is to be said, and at workers that are not kept any longer
-COST_MOST = 0.01  # part of the loop's time that snapshots may take
-Place = tuple[i.Server, "Address | None"]
+FILE_NAME = "snapshot"
+CHECK_INTERVAL_S = 0.1  # between checks for due messages, omitted workers and new drain orders
+MAX_WRITE_TIME_SHARE = 0.01  # of the loop's time, that snapshots may take
+LocatedServer = tuple[interface.Server, "Address | None"]
 
 
 class SnapshotSource(Protocol):
-    """The front whose state is kept."""
+    """The front whose state is saved."""
 
     router: Router
 
     @property
-    def levels(self) -> Governor | None: ...
+    def levels(self) -> Governor | None:
+        """The governor of the levels of service; None if they are off."""
 
     def state(self) -> HandOver:
-        """What a process after this one goes on from."""
+        """The state that a later process continues from."""
 
 
 class SnapshotStore:
+    """Writes and restores the snapshots of a router process, and drives its recovery."""
+
     def __init__(
-        self, loop: Loop, settings: RecoverySettings, module: i.Settings, names: Names, seed: int
+        self,
+        loop: Loop,
+        settings: RecoverySettings,
+        module: interface.Settings,
+        names: Names,
+        seed: int,
     ) -> None:
+        """Reads the snapshot of an earlier process; `module` = settings of the decision module."""
         self._loop, self._settings, self._names = loop, settings, names
-        self._fleet = fleet_id(module, names)
-        self._boot = self._read_boot()
+        self._fleet_id = fleet_id(module, names)
+        self._boot_id = self._read_boot_id()
         random = Random(f"recovery {seed}")
         self.recovery = Recovery(settings, module, loop.now, random, loop.log)
         self._roles = module.roles
-        self._speaker = (
+        self._message_schedule = (
             peer_messages.MessageSchedule(module.instances, random, loop.now) if module.may_tell else None
         )
-        self._tell: Callable[[bytes], None] = lambda data: None
-        self._timer, self._writing = Timer(loop), Timer(loop)
-        self._kept: SnapshotSource | None = None
-        self._steps: Iterator[None] | None = None  # of a snapshot that is being written
-        self._recalled = False
-        self._drains: frozenset[int] = frozenset()  # that the latest snapshot knows of
-        self._generations = self._open()
-        self._old = self._load()
-
-    # ---- what an earlier process left ----
-
-    def _read_boot(self) -> str:
+        self._broadcast: Callable[[bytes], None] = lambda data: None
+        self._check_timer, self._write_timer = Timer(loop), Timer(loop)
+        self._source: SnapshotSource | None = None
+        self._write_steps: Iterator[None] | None = None  # of a snapshot that is being written
+        self._restored = False
+        self._saved_drains: frozenset[int] = frozenset()  # draining workers in the latest snapshot
+        self._generations = self._open_generations()
+        self._previous = self._read_snapshot()
+
+    # ---- the snapshot of an earlier process ----
+
+    def _read_boot_id(self) -> str:
         try:
             return self._settings.boot_id.read_text().strip()
         except OSError as error:
-            self._loop.log("no boot id", f"{error}; a snapshot's age is told by the clock alone")
+            self._loop.log("no boot id", f"{error}; a snapshot's age is taken from the wall clock alone")
             return ""
 
-    def _open(self) -> Generations | None:
+    def _open_generations(self) -> Generations | None:
         if self._settings.folder is None:
             return None
         try:
-            return Generations(Folder(self._settings.folder), NAME)
+            return Generations(Folder(self._settings.folder), FILE_NAME)
         except OSError as error:
             self._loop.log("no snapshots", f"{self._settings.folder}: {error}")
             return None
 
-    def _load(self) -> Snapshot | None:
+    def _read_snapshot(self) -> Snapshot | None:
         if self._generations is None:
             return None
         for data in self._generations.read():
             try:
-                found = unpack(data, self._fleet)
+                snapshot = unpack(data, self._fleet_id)
             except DecodeError as error:
                 self._loop.log("snapshot passed over", str(error))
                 continue
-            old = age(found, self._clocks())
-            self._loop.log("snapshot read", f"{old:.1f} s old, {len(found.state.servers)} workers")
-            self._remember(found, old)
-            return found
-        self._loop.log("no snapshot", "starting fresh")
+            seconds = age(snapshot, self._clocks())
+            self._loop.log("snapshot read", f"{seconds:.1f} s old, {len(snapshot.state.servers)} workers")
+            self._load_previous_run(snapshot, seconds)
+            return snapshot
+        self._loop.log("no snapshot", "starting without earlier state")
         return None
 
     def _clocks(self) -> Clocks:
-        return Clocks(time.time(), time.monotonic(), self._boot)
-
-    def _remember(self, found: Snapshot, old: float) -> None:
-        wrote = -math.inf if math.isnan(old) else self._loop.now - old
-        before = [server for server, _ in from_listed(found.state.servers)]
-        # Starts are told on the clock of that run of the machine; on ours they lie elsewhere.
-        shift = self._shift(found, wrote)
-        moved = tuple(
+        return Clocks(time.time(), time.monotonic(), self._boot_id)
+
+    def _load_previous_run(self, snapshot: Snapshot, seconds: float) -> None:
+        """Hands a snapshot of an age in seconds to the recovery."""
+        written_at = -math.inf if math.isnan(seconds) else self._loop.now - seconds
+        servers = [server for server, _ in from_listed(snapshot.state.servers)]
+        # Start times in the snapshot are on the monotonic clock of its boot.
+        shift = self._clock_shift(snapshot, written_at)
+        shifted = tuple(
             server._replace(started=None if server.started is None else server.started + shift)
-            for server in before
+            for server in servers
         )
-        boot = found.boot == self._boot if self._boot and found.boot else None
+        same_boot = snapshot.boot == self._boot_id if self._boot_id and snapshot.boot else None
         self.recovery.load_previous_run(
-            PreviousRun(wrote, boot, math.isnan(old), found.state.generation, moved)
+            PreviousRun(written_at, same_boot, math.isnan(seconds), snapshot.state.generation, shifted)
         )
-        if found.turns > 0:
-            of = {role: [s.id for s in before if self._roles[s.kind] is role] for role in Role}
+        if snapshot.turns > 0:
+            by_role = {
+                role: [server.id for server in servers if self._roles[server.kind] is role] for role in Role
+            }
             self.recovery.set_usual_traffic(
-                usual_traffic(found.turns, of, found.state.module.work, found.state.at)
+                usual_traffic(snapshot.turns, by_role, snapshot.state.module.work, snapshot.state.at)
             )
 
     @staticmethod
-    def _shift(found: Snapshot, wrote: float) -> float:
-        return wrote - found.state.at if math.isfinite(wrote) else 0.0
-
-    def initial_servers(self, known: tuple[i.Server, ...]) -> tuple[Place, ...]:
-        """The workers to begin with: what the configuration and the snapshot say together, and where those
-        are that only the snapshot has."""
-        places = dict(from_listed(self._old.state.servers)) if self._old is not None else {}
-        found = {server.id: place for server, place in places.items()}
-        return tuple((s, found.get(s.id)) for s in self.recovery.begin(known, self._loop.now))
+    def _clock_shift(snapshot: Snapshot, written_at: float) -> float:
+        """Seconds to add to the times in a snapshot; 0 if its age is unknown."""
+        return written_at - snapshot.state.at if math.isfinite(written_at) else 0.0
+
+    def initial_servers(self, known: tuple[interface.Server, ...]) -> tuple[LocatedServer, ...]:
+        """The workers to use until the register answers, from the configuration and the snapshot.
+
+        Workers that the snapshot names come with their addresses.
+        """
+        listed = dict(from_listed(self._previous.state.servers)) if self._previous is not None else {}
+        addresses = {server.id: address for server, address in listed.items()}
+        return tuple(
+            (server, addresses.get(server.id))
+            for server in self.recovery.initial_servers(known, self._loop.now)
+        )
 
     @property
     def generation(self) -> int:
-        return self._old.state.generation if self._old is not None else 0
+        """The generation of the register's list in the snapshot; 0 without one."""
+        return self._previous.state.generation if self._previous is not None else 0
 
     @property
     def pin(self) -> Pinned | None:
-        """What operators held a level at, if that has not ended."""
-        pin = self._old.pin if self._old is not None else None
+        """The level of service that operators pinned before the restart, if the pin has not ended."""
+        pin = self._previous.pin if self._previous is not None else None
         return pin if pin is not None and pin.until > time.time() else None
 
-    # ---- while it serves ----
+    # ---- while the process serves ----
 
-    def start(self, kept: SnapshotSource, tell: Callable[[bytes], None]) -> None:
-        """From now on; `tell` = to all other routers."""
-        self._kept, self._tell = kept, tell
-        self._look()
+    def start(self, source: SnapshotSource, broadcast: Callable[[bytes], None]) -> None:
+        """Starts the checks and the snapshots; `broadcast` sends a datagram to all other routers."""
+        self._source, self._broadcast = source, broadcast
+        self._check()
         if self._generations is not None:
-            self._writing.set(self._settings.every, self._write)
+            self._write_timer.set(self._settings.every, self._write)
 
     def servers_listed(
-        self, kind: ListKind, listed: tuple[i.Server, ...], generation: int
-    ) -> tuple[i.Server, ...]:
-        """What the core is to take for the register's list."""
+        self, kind: ListKind, listed: tuple[interface.Server, ...], generation: int
+    ) -> tuple[interface.Server, ...]:
+        """The list that the core is given in place of the register's."""
         return self.recovery.merge_list(kind, listed, generation, self._loop.now)
 
     def message_received(self, sender: int, data: bytes) -> None:
-        """Another router's word."""
+        """Handles a message of another router."""
         try:
-            word = peer_messages.unpack(data)
+            message = peer_messages.unpack(data)
         except ValueError as error:
             return self._loop.log("word of a router passed over", f"router {sender}: {error}")
-        self.recovery.message_received(sender, word, self._loop.now)
-        if word.asks and self._speaker is not None:
-            self._speaker.asked(self._loop.now)
+        self.recovery.message_received(sender, message, self._loop.now)
+        if message.asks and self._message_schedule is not None:
+            self._message_schedule.asked(self._loop.now)
         return None
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._loop.now
-        assert self._kept is not None
-        if self._speaker is not None:
-            asks = self._speaker.due(now, self.recovery.active)
+        assert self._source is not None
+        if self._message_schedule is not None:
+            asks = self._message_schedule.due(now, self.recovery.active)
             if asks is not None:
-                self._tell(peer_messages.pack(self.recovery.message(asks, now)))
-        if gone := self.recovery.missed(now):
-            self._loop.log("workers gone", f"{len(gone)} that the register left out, and nobody has met")
-            self._kept.router.servers_listed(ListKind.CHANGES, gone)
-        self._recall()
+                self._broadcast(peer_messages.pack(self.recovery.message(asks, now)))
+        if gone := self.recovery.expire_omitted(now):
+            self._loop.log("workers gone", f"{len(gone)} that the register omitted and that did not answer")
+            self._source.router.servers_listed(ListKind.CHANGES, gone)
+        self._restore()
         if (
             self._generations is not None
-            and not self._steps
-            and self.recovery.draining_workers != self._drains
+            and not self._write_steps
+            and self.recovery.draining_workers != self._saved_drains
         ):
-            self._writing.set(0.0, self._write)  # an order is not to be lost to a snapshot that is due later
-        self._timer.set(LOOK_EVERY, self._look)
+            self._write_timer.set(
+                0.0, self._write
+            )  # at once, so that a power loss does not undo a drain order
+        self._check_timer.set(CHECK_INTERVAL_S, self._check)
 
-    def _recall(self) -> None:
-        """Once it is judged who was lost, let the module know what of before still holds."""
+    def _restore(self) -> None:
+        """Gives the module the state that is still valid, once the scope of the restart is known."""
         scope = self.recovery.scope_estimate.scope
-        if self._recalled or self._old is None or scope is Scope.UNKNOWN:
+        if self._restored or self._previous is None or scope is Scope.UNKNOWN:
             return
-        assert self._kept is not None
-        self._recalled = True
-        old = age(self._old, self._clocks())
-        wrote = -math.inf if math.isnan(old) else self._loop.now - old
-        shift = self._shift(self._old, wrote)
-        holds = still_valid(self._old.state.module, scope, shift, wrote, self._loop.now)
-        self._kept.router.merge_learned_state(holds)
-        told = f"{len(holds.sessions)} of {len(self._old.state.module.sessions)} sessions"
-        self._loop.log("recalled", f"{told}, {len(holds.servers)} workers' paces")
+        assert self._source is not None
+        self._restored = True
+        seconds = age(self._previous, self._clocks())
+        written_at = -math.inf if math.isnan(seconds) else self._loop.now - seconds
+        shift = self._clock_shift(self._previous, written_at)
+        valid = still_valid(self._previous.state.module, scope, shift, written_at, self._loop.now)
+        self._source.router.merge_learned_state(valid)
+        sessions = f"{len(valid.sessions)} of {len(self._previous.state.module.sessions)} sessions"
+        self._loop.log("recalled", f"{sessions}, {len(valid.servers)} workers' paces")
 
     # ---- snapshots ----
 
     def _write(self) -> None:
-        assert self._kept is not None and self._generations is not None
-        self._drains = self.recovery.draining_workers
-        began = time.perf_counter()
+        assert self._source is not None and self._generations is not None
+        self._saved_drains = self.recovery.draining_workers
+        started_at = time.perf_counter()
         try:
-            data = pack(self._snapshot(self._kept))
+            data = pack(self._snapshot(self._source))
             if len(data) > self._settings.most_bytes:
-                raise DecodeError(f"{len(data)} bytes, at most {self._settings.most_bytes} are to be kept")
+                raise DecodeError(f"{len(data)} bytes, over the limit of {self._settings.most_bytes}")
             steps = self._generations.write(data)
         except (DecodeError, TypeError, ValueError) as error:
             self._loop.log("snapshot not made", str(error))
-            return self._writing.set(self._settings.every, self._write)
-        self._steps = steps
-        return self._step(steps, time.perf_counter() - began)
+            return self._write_timer.set(self._settings.every, self._write)
+        self._write_steps = steps
+        return self._write_step(steps, time.perf_counter() - started_at)
+
+    def _write_step(self, steps: Iterator[None], cost: float) -> None:
+        """Does one file operation per turn of the loop.
 
-    def _step(self, steps: Iterator[None], cost: float) -> None:
-        """One call of the disk a turn of the loop; what they all cost says when the next snapshot is due."""
-        began = time.perf_counter()
+        `cost` = seconds taken so far; the total determines when the next snapshot is due.
+        """
+        started_at = time.perf_counter()
         try:
             next(steps)
         except StopIteration:
-            self._steps = None
-            wait = max(self._settings.every, cost / COST_MOST)
-            return self._writing.set(wait, self._write)
+            self._write_steps = None
+            wait = max(self._settings.every, cost / MAX_WRITE_TIME_SHARE)
+            return self._write_timer.set(wait, self._write)
         except OSError as error:
-            self._steps = None
+            self._write_steps = None
             self._loop.log("snapshot not written", str(error))
-            return self._writing.set(self._settings.every, self._write)
-        cost += time.perf_counter() - began
-        return self._writing.set(0.0, lambda: self._step(steps, cost))
+            return self._write_timer.set(self._settings.every, self._write)
+        cost += time.perf_counter() - started_at
+        return self._write_timer.set(0.0, lambda: self._write_step(steps, cost))
 
-    def _snapshot(self, kept: SnapshotSource) -> Snapshot:
-        levels, clocks = kept.levels, self._clocks()
+    def _snapshot(self, source: SnapshotSource) -> Snapshot:
+        levels, clocks = source.levels, self._clocks()
         turns = levels.turn_rate(self._loop.now) if levels is not None else 0.0
-        if self.recovery.active and self._old is not None:
-            turns = self._old.turns  # what is usual shows in full service only
+        if self.recovery.active and self._previous is not None:
+            turns = self._previous.turns  # the usual rate shows only in full service
         pin = levels.level_state.pin if levels is not None else None
-        held = None
+        pinned = None
         if pin is not None:
-            held = Pinned(pin.level.label, clocks.wall + pin.until - self._loop.now, pin.reason)
-        return Snapshot(self._fleet, clocks.wall, clocks.boot, turns, kept.state(), held)
+            pinned = Pinned(pin.level.label, clocks.wall + pin.until - self._loop.now, pin.reason)
+        return Snapshot(self._fleet_id, clocks.wall, clocks.boot, turns, source.state(), pinned)
 
     def close(self) -> None:
-        self._timer.cancel()
-        self._writing.cancel()
+        """Stops the timers; a snapshot in progress is abandoned."""
+        self._check_timer.cancel()
+        self._write_timer.cancel()
--- a/yewhook/recovery/start_order.py
+++ b/yewhook/recovery/start_order.py
@@ -1,4 +1,4 @@
-"""In which order an agent starts what is wanted. No I/O."""
+"""The order in which an agent starts its instances. No I/O."""
 
 from __future__ import annotations
 
@@ -6,6 +6,8 @@
 
 
 def next_to_start(waiting: Sequence[str], starting: int, at_a_time: int) -> Sequence[str]:
-    """Which instances to start now, of those that wait: starts cost processor time that others serve
-    with."""
+    """The waiting instances to start now, with at most `at_a_time` starting at once.
+
+    The number is limited because starting takes processor time from the instances that already serve.
+    """
     return waiting[: max(0, at_a_time - starting)]
