--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -23,10 +23,10 @@
 BEST = PhaseEvidence(path_listed=True, path_confirmed=True, late=False, all_admitted=True, warm_share=1.0)
 
 
-def run_steps(state: PhaseState, evidence: PhaseEvidence, begin: float, evaluations: int) -> list[PhaseState]:
+def run_steps(state: PhaseState, evidence: PhaseEvidence, start: float, evaluations: int) -> list[PhaseState]:
     states = [state]
     for n in range(evaluations):
-        states.append(states[-1].step(evidence, begin + 0.25 * n, CALM))
+        states.append(states[-1].step(evidence, start + 0.25 * n, CALM))
     return states
 
 
--- a/tests/recovery/test_ramp.py
+++ b/tests/recovery/test_ramp.py
@@ -36,10 +36,10 @@
     assert rank(kind, TOP_CLASSES) is expected
 
 
-def seconds(
-    ramp: Ramp, begin: float, count: int, each: list[Turn], proven: float, late: float = 0.0
+def admitted_per_second(
+    ramp: Ramp, start: float, count: int, arrivals: list[Turn], proven: float, late: float = 0.0
 ) -> list[int]:
-    """Turns below the top class admitted in each second; all of `each` arrive every quarter of a second.
+    """Turns below the top class admitted in each second; all of `arrivals` arrive every quarter of a second.
 
     `late` = share of each second in which admitted turns count as late.
     """
@@ -47,8 +47,8 @@
     for second in range(count):
         got = 0
         for quarter in range(4):
-            now = begin + second + quarter / 4
-            for one in each:
+            now = start + second + quarter / 4
+            for one in arrivals:
                 ok = ramp.admits(one, TOP_CLASSES, now)
                 got += ok and one.kind.cls not in TOP_CLASSES
                 if ok:
@@ -66,17 +66,17 @@
 
 
 def test_the_rate_starts_low_and_rises_while_answers_are_in_time() -> None:
-    got = seconds(Ramp(SETTINGS, [1.0], 0.0), 0.0, 8, [turn(), turn(), turn()], proven=4.0)
+    got = admitted_per_second(Ramp(SETTINGS, [1.0], 0.0), 0.0, 8, [turn(), turn(), turn()], proven=4.0)
     assert got[0] <= 3 and got[-1] >= 8 and got == sorted(got)
 
 
 def test_the_rate_is_cut_when_a_fifth_of_the_worth_is_late() -> None:
     ramp = Ramp(SETTINGS, [1.0], 0.0)
-    seconds(ramp, 0.0, 6, [turn(), turn()], proven=4.0)
+    admitted_per_second(ramp, 0.0, 6, [turn(), turn()], proven=4.0)
     before = ramp.rate
-    got = seconds(ramp, 6.0, 12, [turn(), turn(), turn(cls=1)], proven=4.0, late=0.5)
+    got = admitted_per_second(ramp, 6.0, 12, [turn(), turn(), turn(cls=1)], proven=4.0, late=0.5)
     assert got[-1] <= 1 and ramp.rate < before / 4
-    back = seconds(ramp, 18.0, 10, [turn(), turn(), turn(cls=1)], proven=4.0)
+    back = admitted_per_second(ramp, 18.0, 10, [turn(), turn(), turn(cls=1)], proven=4.0)
     assert back[-1] >= 6  # no oscillation: once answers are in time, it rises to the demand
 
 
@@ -88,18 +88,18 @@
 ) -> None:
     ramp, now = Ramp(SETTINGS, [1.0], 0.0), 0.0
     tried = 1.0
-    for seconds_, late, proven in steps:
-        now += seconds_
+    for seconds, late, proven in steps:
+        now += seconds
         ramp.admits(turn(), TOP_CLASSES, now)
         ramp.lateness.add(1.0, late, now)
         ramp.update(now, proven, True)
-        tried *= SETTINGS.grow**seconds_  # the multiple that is tried grows no faster than this
+        tried *= SETTINGS.grow**seconds  # the multiple that is tried grows no faster than this
         assert 0.0 <= ramp.rate <= max(MIN_TURNS_PER_S, tried * proven) + 1e-9
 
 
 def test_admitted_turns_are_bounded_by_the_proven_rate() -> None:
     ramp = Ramp(SETTINGS, [1.0], 0.0)
-    first = seconds(ramp, 0.0, 2, [turn()] * 20, proven=2.0)
+    first = admitted_per_second(ramp, 0.0, 2, [turn()] * 20, proven=2.0)
     assert sum(first) <= 2 * 2.0 * SETTINGS.grow**2 + 2
 
 
--- a/yewhook/recovery/ramp.py
+++ b/yewhook/recovery/ramp.py
@@ -20,11 +20,11 @@
 
 BUCKET_DEPTH_S = 1.0  # of the rate that the bucket holds; at least one turn
 MIN_TURNS_PER_S = 0.1  # a rate starts at this, and becomes 0 below it
-LATE_TIME_CONSTANT_S = 1.0
-DEMAND_TIME_CONSTANT_S = 2.0
+LATE_TIME_CONSTANT_S = 1.0  # of the late share
+DEMAND_TIME_CONSTANT_S = 2.0  # of demand, admitted and refused turns
 INITIAL_RATE_SHARE = 0.5  # of the proven turn rate, if that is over the minimum
 MAX_DEMAND_MULTIPLE = 2.0  # bounds the rate; at this multiple of the demand all of it is admitted
-MIN_CUT_INTERVAL_S = 1.0  # turns admitted before a cut can still be late for so long
+MIN_CUT_INTERVAL_S = 1.0  # for so long after a cut, turns that were admitted before it can still end late
 OVER_SHARE_RESERVE = 0.3  # share of the bucket that a client beyond its share must leave to others
 BASE_RETRY_AFTER_S = 0.5  # longest wait that is advised when no turns are refused
 MAX_RETRY_AFTER_S = 5.0  # longest wait that is ever advised
@@ -81,17 +81,17 @@
 
     # ---- the rate ----
 
-    def update(self, now: float, proven: float, opens: bool) -> None:
+    def update(self, now: float, proven: float, answering: bool) -> None:
         """Adapts the rate; to be called periodically.
 
-        `proven` = turns per second that the warm part of the fleet served for this router before; `opens` =
-        answers arrive, so that lateness is meaningful. The fleet may be able to serve more than it was asked
-        for before, so the multiple of `proven` that is tried rises while answers are in time.
+        `proven` = turns per second that the warm part of the fleet served for this router before;
+        `answering` = answers arrive, so that lateness is meaningful. The fleet may be able to serve more than
+        it was asked for before, so the multiple of `proven` that is tried rises while answers are in time.
         """
         settings, seconds = self.settings, now - self._updated_at
         self._updated_at = now
         self._refill(now)
-        if self.lateness.at(now) >= settings.late or not opens:
+        if self.lateness.at(now) >= settings.late or not answering:
             if now - self._cut_at >= MIN_CUT_INTERVAL_S:
                 self.rate, self._cut_at = self.rate * settings.cut, now
                 self._probe_factor = max(1.0, self._probe_factor * settings.cut)
--- a/yewhook/recovery/recovery.py
+++ b/yewhook/recovery/recovery.py
@@ -29,7 +29,7 @@
 
 MIN_LATENESS_TURNS = 2.0  # the late share is taken of at least so many, since few turns are no evidence
 DEFAULT_SERVER_TURNS_PER_S = 0.5  # of a usable server for all routers, where no earlier rate is known
-ROUTER_LIVENESS_S = 5.0  # after its last message, a router no longer counts as serving
+ROUTER_LIVENESS_S = 5.0  # after its last message, for which a router counts as serving
 UNREACHABLE_REPORT_S = 5.0  # for which other routers are told that a worker was unreachable
 OMITTED_RETENTION_S = 30.0  # for which workers are kept that the list of a restarted register omits
 LEVEL_NAME = "recovering"  # the level of service that the module is told while service returns
@@ -61,7 +61,7 @@
 def usual_traffic(
     turns_per_s: float, servers: Mapping[Role, list[int]], sent: Mapping[int, Estimate], now: float
 ) -> UsualTraffic:
-    """Summarizes the traffic; `sent` = the module's estimate of the work sent to each server."""
+    """Summarizes the traffic; `sent` = the module's rates of the work sent to each server."""
     rates = {}
     for role, numbers in servers.items():
         known = [sent[n].decayed(now, WORK_RATE_TIME_CONSTANT_S) for n in numbers if n in sent]
@@ -71,7 +71,7 @@
 
 
 class Recovery:
-    """The recovery state of one router."""
+    """The recovery of one router: merges lists of workers, tracks which of them run, and limits admission."""
 
     def __init__(
         self,
@@ -97,7 +97,8 @@
         # Worker that the list of a restarted register omits -> time until which it is kept
         self._omitted_until: dict[int, float] = {}
         self._routers: dict[int, tuple[float, float]] = {}  # other router -> start time, last message
-        # Worker confirmed to run -> start of its slow start, used where the list has no start time
+        # Worker confirmed to run -> start of its slow start, used where the list has no start time; negative
+        # infinity = already warm
         self._confirmed: dict[int, float] = {}
         # Workers whose start after the snapshot the register has reported, until the list event arrives
         self._restart_reported: set[int] = set()
@@ -111,7 +112,7 @@
 
     @property
     def active(self) -> bool:
-        """Whether full service has not been reached."""
+        """Whether service is still returning: full service has not been reached."""
         return self.phase_state.phase is not Phase.FULL
 
     # ---- lists of workers ----
@@ -187,7 +188,7 @@
             self._record_server(server, Source.REGISTER, now)
             if server.state is ServerState.GONE:
                 self.facts.forget(server.id)
-            elif self._started_since_snapshot(server):  # the register has heard of it since the loss
+            elif self._started_since_snapshot(server):  # registered since the loss
                 self._restart_reported.add(server.id)
         return listed + kept
 
@@ -336,7 +337,7 @@
         self._usual_traffic, self._rates_sent = usual, False
 
     def update(self, now: float, usage: dict[Role, interface.RoleUsage], mean_worth: float) -> None:
-        """Evaluates the evidence; to be called periodically. `mean_worth` = of a turn."""
+        """Updates scope, phase and rate; to be called periodically. `mean_worth` = mean worth of a turn."""
         self._update_scope(now)
         self._mean_worth = mean_worth
         self.ramp.lateness.min_total = MIN_LATENESS_TURNS * mean_worth
@@ -414,7 +415,7 @@
         return [server for server in known if server.state is ServerState.RUNNING]
 
     def _warm_capacity(self, now: float) -> dict[Role, float]:
-        """The warm capacity of the confirmed workers by role, at the least; one warm worker counts as 1."""
+        """A lower bound of the warm capacity of the confirmed workers by role; a warm worker counts as 1."""
         capacity = dict.fromkeys(Role, 0.0)
         settings = self._module_settings
         for server in self._confirmed_servers():
--- a/yewhook/recovery/snapshot_store.py
+++ b/yewhook/recovery/snapshot_store.py
@@ -104,9 +104,9 @@
             except DecodeError as error:
                 self._loop.log("snapshot passed over", str(error))
                 continue
-            seconds = age(snapshot, self._clocks())
-            self._loop.log("snapshot read", f"{seconds:.1f} s old, {len(snapshot.state.servers)} workers")
-            self._load_previous_run(snapshot, seconds)
+            age_s = age(snapshot, self._clocks())
+            self._loop.log("snapshot read", f"{age_s:.1f} s old, {len(snapshot.state.servers)} workers")
+            self._load_previous_run(snapshot, age_s)
             return snapshot
         self._loop.log("no snapshot", "starting without earlier state")
         return None
@@ -114,9 +114,9 @@
     def _clocks(self) -> Clocks:
         return Clocks(time.time(), time.monotonic(), self._boot_id)
 
-    def _load_previous_run(self, snapshot: Snapshot, seconds: float) -> None:
-        """Hands a snapshot of an age in seconds to the recovery."""
-        written_at = -math.inf if math.isnan(seconds) else self._loop.now - seconds
+    def _load_previous_run(self, snapshot: Snapshot, age_s: float) -> None:
+        """Hands a snapshot of the given age to the recovery."""
+        written_at = -math.inf if math.isnan(age_s) else self._loop.now - age_s
         servers = [server for server, _ in from_listed(snapshot.state.servers)]
         # Start times in the snapshot are on the monotonic clock of its boot.
         shift = self._clock_shift(snapshot, written_at)
@@ -126,7 +126,7 @@
         )
         same_boot = snapshot.boot == self._boot_id if self._boot_id and snapshot.boot else None
         self.recovery.load_previous_run(
-            PreviousRun(written_at, same_boot, math.isnan(seconds), snapshot.state.generation, shifted)
+            PreviousRun(written_at, same_boot, math.isnan(age_s), snapshot.state.generation, shifted)
         )
         if snapshot.turns > 0:
             by_role = {
@@ -218,8 +218,8 @@
             return
         assert self._source is not None
         self._restored = True
-        seconds = age(self._previous, self._clocks())
-        written_at = -math.inf if math.isnan(seconds) else self._loop.now - seconds
+        age_s = age(self._previous, self._clocks())
+        written_at = -math.inf if math.isnan(age_s) else self._loop.now - age_s
         shift = self._clock_shift(self._previous, written_at)
         valid = still_valid(self._previous.state.module, scope, shift, written_at, self._loop.now)
         self._source.router.merge_learned_state(valid)
