--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -25,21 +25,21 @@
         heard: tuple[list[int], list[str]] = ([], [])
 
         class Heard:
-            unfinished, told = False, 0
+            unfinished, event_count = False, 0
 
-            def begun(self, status: int, headers: dict[str, str]) -> None:
+            def head_received(self, status: int, headers: dict[str, str]) -> None:
                 heard[0].append(status)
 
-            def body(self, data: bytes) -> None:
+            def body_received(self, data: bytes) -> None:
                 heard[1].append(data.decode())
 
-            def whole(self) -> None:
+            def completed(self) -> None:
                 heard[1].append("whole")
 
-            def broken(self, ending: Ending) -> None:
+            def failed(self, ending: Ending) -> None:
                 heard[1].append(ending.name)
 
-        connection.ask(Heard(), lambda: b"")
+        connection.request(Heard(), lambda: b"")
         for part in parts:
             connection.received(part)
         kept = bool(pool._idle)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -144,7 +144,7 @@
     client = p.parties["client"]
     client.begin(socket.create_connection(client.address))
     p.wait(2.1)
-    late, sent = ClientConnection._late, list[bool]()
+    late, sent = ClientConnection._request_timed_out, list[bool]()
 
     def arrive_then_late(self: ClientConnection) -> None:
         if not sent:
@@ -153,9 +153,9 @@
         late(self)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(ClientConnection, "_late", arrive_then_late)
+        patch.setattr(ClientConnection, "_request_timed_out", arrive_then_late)
         connection = next(iter(p.front.clients.connections))
-        connection._timer.set(0.05, connection._late)
+        connection._timer.set(0.05, connection._request_timed_out)
         p.play("wait 0.2\nclient expect 200 OK")
     assert sent
 
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -9,8 +9,8 @@
 from settings import ENV
 from test_platform import FLEET, Platform, begin
 
-from yewhook.platform.clients import PENALTY
-from yewhook.platform.workers import STILL, STILL_ALONE
+from yewhook.platform.clients import BAD_REQUEST_PAUSE_S
+from yewhook.platform.workers import STREAM_SILENCE_NO_RESUME_S, STREAM_SILENCE_S
 
 
 def only_life_deadline(p: Platform) -> float:
@@ -58,7 +58,7 @@
     p.play("wait 3.0\nclient send ask lane=nobody\nclient expect HTTP/1.1 400")
     sent = p.clock.now
     p.play("client send ask left=5000m\nwait 0.6")
-    assert only_life_deadline(p) > sent + 5.0 - PENALTY - 0.1
+    assert only_life_deadline(p) > sent + 5.0 - BAD_REQUEST_PAUSE_S - 0.1
 
 
 def test_a_router_that_is_not_held_up_takes_next_to_nothing_off_a_clients_time(p: Platform) -> None:
@@ -112,7 +112,7 @@
 ) -> None:
     stream(alone)
     began = alone.clock.now
-    alone.play(f"wait {STILL_ALONE - 0.2}")
+    alone.play(f"wait {STREAM_SILENCE_NO_RESUME_S - 0.2}")
     assert not alone.parties["client"].ended
     alone.play("client expect closed")
     assert alone.clock.now - began < 5.0
@@ -121,7 +121,7 @@
 def test_a_stream_whose_event_came_while_the_router_was_held_up_is_not_cut(p: Platform) -> None:
     stream(p)
     p.parties["writer"].send(b"15\r\ndata: " + json.dumps("two and a half").encode()[:13] + b"\n\n\r\n")
-    p.clock.now += STILL + 0.5
+    p.clock.now += STREAM_SILENCE_S + 0.5
     p.turn()
     p.play("wait 1.0")
     assert not p.parties["client"].ended and "two and" in p.parties["client"].text
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -83,7 +83,7 @@
     p.parties["client"].send(b"".join(ask(id=f"r{n}") for n in range(100)))
     p.play("client expect HTTP/1.1 503\nclient expect HTTP/1.1 400\nclient expect closed")
     p.until(lambda: not p.front.busy, "nothing left")
-    assert p.front.clients.held == 0
+    assert p.front.clients.buffered_body_bytes == 0
 
 
 def test_garbage_behind_a_request_answers_it_at_once(p: Platform) -> None:
@@ -100,11 +100,11 @@
 
 
 def test_bodies_in_memory_are_limited_and_let_go_of(p: Platform) -> None:
-    p.front.clients.held_most = 100_000
+    p.front.clients.max_buffered_body_bytes = 100_000
     p.play(f"client send ask body={'x' * 60_000}\nreader expect POST")
     p.play(f"late send ask id=r2 body={'x' * 60_000}\nlate expect HTTP/1.1 503\nlate expect closed")
     p.play("client close\nwait 0.1")
-    assert p.front.clients.held == 0
+    assert p.front.clients.buffered_body_bytes == 0
 
 
 def test_limits_come_from_the_configuration(p: Platform) -> None:
@@ -144,7 +144,7 @@
                                                [p.entry("writer") | old])  # fmt: skip
         message = {"generation": n, "reset": full, "instances": entries}
         watch = p.front.watch
-        watch.said(watch._serving or watch._asked[-1], message)
+        watch.message_received(watch._active or watch._unanswered[-1], message)
         p.wait(0.01)
 
     generation(10, True)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,7 +14,7 @@
 from settings import ENV
 
 from yewhook.config import Config, ConfigError, Limits, parse_settings
-from yewhook.platform.front import FIRST_WORD, PlatformFront
+from yewhook.platform.front import FIRST_LIST_TIMEOUT_S, PlatformFront
 from yewhook.platform.http import EventSplitter
 from yewhook.service import ResourceBudget
 
@@ -88,7 +88,7 @@
         self.service.fronts.append(self.front)
         self.service.begin()
         if heard:
-            self.wait(FIRST_WORD + 0.05)
+            self.wait(FIRST_LIST_TIMEOUT_S + 0.05)
         self.parties["client"] = FakePeer(("127.0.0.1", self.front.port))
 
     def entry(self, name: str, state: str = "up") -> dict[str, object]:
@@ -178,7 +178,7 @@
     for byte in stream.encode():
         got += splitter.feed(bytes([byte]))
     assert got == [f"data: 1{end}".encode(), f"data: 2{end}".encode()]
-    with pytest.raises(ValueError, match="without end"):
+    with pytest.raises(ValueError, match="the event is too large"):
         splitter.feed(b"x" * 600_000)
 
 
@@ -572,7 +572,7 @@
         raise ConfigError("config.json: not JSON")
 
     p.play("discovery expect GET\ndiscovery send watch\nwait 0.1")
-    monkeypatch.setattr(p.front, "_read_again", bad)
+    monkeypatch.setattr(p.front, "_read_config", bad)
     p.service.reload()
     assert any("reload refused: config.json: not JSON" in line for line in p.log.lines)
     p.play("discovery send list name=reader state=draining\nwait 0.1\nclient send ask")
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -14,7 +14,7 @@
 from test_platform import FLEET, Platform, chunk
 
 from yewhook.backoff import Backoff
-from yewhook.platform.front import FIRST_WORD
+from yewhook.platform.front import FIRST_LIST_TIMEOUT_S
 
 TOLD = 6.0  # s after which a change counts as told
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -208,7 +208,7 @@
 
 def test_a_process_that_discovery_does_not_answer_is_ready_soon() -> None:
     p = Platform(FLEET, heard=False)
-    p.play(f"wait {FIRST_WORD + 0.05}\nclient send get path=/healthz\nclient expect 200")
+    p.play(f"wait {FIRST_LIST_TIMEOUT_S + 0.05}\nclient send get path=/healthz\nclient expect 200")
     p.end()
 
 
--- a/yewhook/platform/__init__.py
+++ b/yewhook/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The front for the platform's own protocol: HTTP/1.1 to clients, workers and discovery."""
+"""The router front for the platform's protocol: HTTP/1.1 to clients, workers and discovery."""
--- a/yewhook/platform/discovery.py
+++ b/yewhook/platform/discovery.py
@@ -1,8 +1,11 @@
-"""The watch on the list of workers: one call is served from, and another is asked before the first is let go.
+"""Watches discovery's list of workers.
 
-A change counts as told some seconds after discovery has it, whatever has become of the call that should have
-brought it. So each way in which a call can end leads to a further one within `Backoff`'s bound, and a call
-that says nothing for too long is not waited for alone: a second one is asked beside it.
+One call is active and brings each change. When it ends or falls silent, another call is opened and replaces
+it once it has been answered.
+
+A change counts as known to every router some seconds after discovery has it, whatever became of the call that
+should have brought it. So a call that ends, in any way, is followed by another one within the bound of
+`Backoff`, and a call that is not answered soon gets a second one beside it.
 """
 
 from __future__ import annotations
@@ -15,7 +18,7 @@
 
 import httptools
 
-from hopshed import interface as i
+from hopshed import interface
 
 from ..backoff import Backoff
 from ..channel import Channel
@@ -25,233 +28,263 @@
 from ..worker_list import WorkerList
 from . import http
 
-SILENCE = 2.5  # s; an empty line comes every 2
-# s after which a call without an answer gets a second one beside it, for each router of the tier, and the
-# bounds: asked by many at once, discovery lets them wait in turn, and each call makes all the others wait
-# longer. Silence, this wait and the looks between them stay under the 6 s after which a list counts as told.
-PATIENCE, PATIENCE_LEAST, PATIENCE_MOST = 0.15, 1.0, 2.5
-ASKED_MOST = 2  # calls without an answer; who hangs up and asks again waits again
-LOOK_EVERY = 0.1  # s
-OLDER_FOR = 2.0  # s in which a list older than the one handed over is not believed
-MESSAGE_LIMIT = 4 * 1024 * 1024  # bytes
+SILENCE_TIMEOUT_S = 2.5  # discovery sends an empty line every 2 s
+# Time after which an unanswered call gets a second one beside it: its length for each router of the tier, and
+# its bounds. Discovery answers many callers in turn, and each further call makes all the others wait longer.
+# Silence, this wait and the interval between checks together stay under the 6 s after which a list counts as
+# known.
+ANSWER_TIMEOUT_PER_ROUTER_S = 0.15
+MIN_ANSWER_TIMEOUT_S = 1.0
+MAX_ANSWER_TIMEOUT_S = 2.5
+MAX_UNANSWERED_CALLS = 2  # a call that is closed and opened again starts at the end of discovery's queue
+CHECK_INTERVAL_S = 0.1
+REJECT_OLDER_S = 2.0  # after a hot restart, in which a list older than the one handed over is rejected
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
 
-class Call:
-    """One call of discovery, which brings a message with each change for as long as it lasts."""
+class WatchCall:
+    """One call of discovery; its response brings a message with each change for as long as it lasts."""
 
     def __init__(self, watch: Watch, loop: Loop, address: Address, generation: int) -> None:
-        """Ask for what has changed after a generation; 0 = for the whole list. Raises OSError."""
+        """Ask for the changes after a generation, or with 0 for the whole list. Raises OSError."""
         self._watch, self._loop = watch, loop
-        self.address, self.after = address, generation
-        self.began = self.heard = loop.now
+        self.address, self.after_generation = address, generation
+        self.began_at = self.last_received_at = loop.now
         self._parser = httptools.HttpResponseParser(self)
-        self._line = bytearray()  # what has come of a line
-        self._message: list[bytes] = []  # the lines that have come of a message over several of them
-        self._message_size = 0  # bytes
+        self._line = bytearray()  # the incomplete last line
+        self._message: list[bytes] = []  # the lines so far of a message that spans several
+        self._message_bytes = 0
         self._channel = Channel.connect(loop, address, self)
         target = f"/v1/servers?watch=1&after={generation}"
         self._channel.send(http.head(f"GET {target} HTTP/1.1", {"Host": "discovery"}))
 
     def close(self) -> None:
+        """Close at once; the watch is not told."""
         self._channel.abort()
 
     def connected(self) -> None:
-        """The request is on its way."""
+        """The connection is up; called by the channel."""
 
     def drained(self) -> None:
-        """The request is written."""
+        """The request has been written; called by the channel."""
 
     def lost(self, error: OSError | None) -> None:
-        self._watch.ended(self, str(error or "ended"))
+        """The connection was refused, closed or reset; called by the channel."""
+        self._watch.call_ended(self, str(error or "ended"))
 
     def received(self, data: bytes) -> None:
-        self.heard = self._loop.now
+        """Parse bytes from discovery; called by the channel."""
+        self.last_received_at = self._loop.now
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._channel.abort()
-            self._watch.ended(self, f"not understood: {error.__context__ or error}")
+            self._watch.call_ended(self, f"not understood: {error.__context__ or error}")
 
     def on_headers_complete(self) -> None:
+        """Parser callback: the head is complete."""
         if (status := self._parser.get_status_code()) != 200:
             raise ValueError(f"status {status}")
 
     def on_body(self, body: bytes) -> None:
+        """Parser callback: a part of the body."""
         *ended, rest = body.split(b"\n")
         for line in ended:
             self._line += line
-            self._take(bytes(self._line))
+            self._line_received(bytes(self._line))
             self._line.clear()
         self._line += rest
-        if len(self._line) + self._message_size > MESSAGE_LIMIT:
-            raise ValueError("a message without end")
+        if len(self._line) + self._message_bytes > MAX_MESSAGE_BYTES:
+            raise ValueError("the message is too large")
 
     def on_message_complete(self) -> None:
-        raise ValueError("the answer ended")
+        """Parser callback: the response ends, which a watch never does."""
+        raise ValueError("the response ended")
 
-    def _take(self, line: bytes) -> None:
-        """A message stands on one line or, indented, on several; an empty line says that nothing changed."""
+    def _line_received(self, line: bytes) -> None:
+        """A message is on one line or, indented, on several; an empty line means that nothing changed."""
         if not line.strip():
             if self._message:
-                raise ValueError("a message without its end")
-            return self._watch.said(self, None)
+                raise ValueError("an empty line within a message")
+            return self._watch.message_received(self, None)
         if not self._message and not line.lstrip().startswith(b"{"):
-            raise ValueError("a message that is no object")
+            raise ValueError("a message that is not a JSON object")
         self._message.append(line)
-        self._message_size += len(line) + 1
+        self._message_bytes += len(line) + 1
         if not line.rstrip().endswith(b"}"):
-            return None  # it goes on
+            return None  # the message goes on
         text = b"\n".join(self._message).decode().rstrip()
         try:
             message = json.loads(text)
         except json.JSONDecodeError as error:
             if error.pos < len(text):
                 raise
-            return None  # this was the end of an inner object
+            return None  # this brace ended an inner object
         self._message.clear()
-        self._message_size = 0
-        return self._watch.said(self, message)
+        self._message_bytes = 0
+        return self._watch.message_received(self, message)
 
 
 class Watch:
+    """Keeps a call of discovery open and passes its lists on."""
+
     def __init__(
         self,
         loop: Loop,
         address: Address,
         generation: int,
         worker_list: WorkerList,
-        listed: Callable[[i.ListKind, tuple[i.Server, ...]], None],
+        listed: Callable[[interface.ListKind, tuple[interface.Server, ...]], None],
         routers: int,
         random: Random,
     ) -> None:
-        """`routers` = how many of them ask the same discovery; `random` keeps their tries apart."""
+        """Open the first call.
+
+        `generation` is that of the list already known; `listed` receives each list or change. `routers` is
+        the number of routers that call the same discovery, and `random` spreads their retries.
+        """
         self._loop, self._worker_list, self._listed = loop, worker_list, listed
-        self._address = address  # where the next call goes
-        self._generation, self._numbered_by = generation, address  # of the list that is held; whose count
+        self._address = address  # of the next call
+        self._generation, self._generation_address = (
+            generation,
+            address,
+        )  # known, and which address counted it
         self._backoff = Backoff(routers, random)
-        self._patience = min(PATIENCE_MOST, max(PATIENCE_LEAST, PATIENCE * routers))
-        self._older_until = -math.inf
-        self._heard = loop.now
+        self._answer_timeout_s = min(
+            MAX_ANSWER_TIMEOUT_S, max(MIN_ANSWER_TIMEOUT_S, ANSWER_TIMEOUT_PER_ROUTER_S * routers)
+        )
+        self._reject_older_until = -math.inf
+        self._last_message_at = loop.now
         self.answered = False  # whether any call has been
-        self._serving: Call | None = None  # has answered, and is believed
-        self._asked: list[Call] = []  # have not, the latest last
-        self._next, self._looks = Timer(loop), Timer(loop)
-        self._ask()
-        self._look()
+        self._active: WatchCall | None = None  # the answered call whose messages are used
+        self._unanswered: list[WatchCall] = []  # in the order of their beginning
+        self._retry_timer, self._check_timer = Timer(loop), Timer(loop)
+        self._open_call()
+        self._check()
 
-    def held_is_fresh(self) -> None:
-        """Another process of this instance has held the list until now."""
-        self._older_until = self._loop.now + OLDER_FOR
+    def reject_older_lists(self) -> None:
+        """Reject older lists for a while: the known one was current in the preceding process until now."""
+        self._reject_older_until = self._loop.now + REJECT_OLDER_S
 
     @property
     def generation(self) -> int:
-        """Of the last list heard."""
+        """The generation of the last list received."""
         return self._generation
 
     @property
-    def heard(self) -> float:
-        """When discovery's last word came, if only that nothing has changed."""
-        return self._heard
+    def last_message_at(self) -> float:
+        """When discovery last sent a message or an empty line, by the loop's clock in seconds."""
+        return self._last_message_at
+
+    def switch_address(self, address: Address) -> None:
+        """Call another address from now on.
 
-    def move(self, address: Address) -> None:
-        """Go on at another address. Its numbering may be its own, so it is asked for the whole list; what the
-        old address says is taken until that has come."""
+        Its generations may be counted independently, so it is asked for the whole list. The active call to
+        the old address is used until the new one has been answered.
+        """
         self._address = address
-        self._let_go_of_asked()
+        self._close_unanswered()
         self._backoff.reset()
-        self._ask()
+        self._open_call()
 
     def close(self) -> None:
-        self._next.cancel()
-        self._looks.cancel()
-        self._let_go_of_asked()
-        if self._serving is not None:
-            self._serving.close()
-            self._serving = None
-
-    # ---- asking ----
-
-    def _look(self) -> None:
-        if not self._next.running and self._lacks_word:
-            if self._asked:
-                self._ask()
+        """Close all calls."""
+        self._retry_timer.cancel()
+        self._check_timer.cancel()
+        self._close_unanswered()
+        if self._active is not None:
+            self._active.close()
+            self._active = None
+
+    # ---- calling ----
+
+    def _check(self) -> None:
+        if not self._retry_timer.running and self._needs_call:
+            if self._unanswered:
+                self._open_call()
             else:
-                self._loop.log("discovery watch silent", f"for {self._loop.now - self._heard:.2f} s")
-                self._next.set(self._backoff.short_delay(), self._ask)
-        self._looks.set(LOOK_EVERY, self._look)
+                self._loop.log(
+                    "discovery watch silent", f"for {self._loop.now - self._last_message_at:.2f} s"
+                )
+                self._retry_timer.set(self._backoff.short_delay(), self._open_call)
+        self._check_timer.set(CHECK_INTERVAL_S, self._check)
 
     @property
-    def _lacks_word(self) -> bool:
-        """Whether another call is due, whatever is out."""
-        now, serving = self._loop.now, self._serving
-        if serving is not None and serving.address == self._address and now - serving.heard < SILENCE:
+    def _needs_call(self) -> bool:
+        """Whether the active call is silent or missing, and the unanswered ones have had their time."""
+        now, active = self._loop.now, self._active
+        if (
+            active is not None
+            and active.address == self._address
+            and now - active.last_received_at < SILENCE_TIMEOUT_S
+        ):
             return False
-        return not self._asked or now - self._asked[-1].began >= self._patience
+        return not self._unanswered or now - self._unanswered[-1].began_at >= self._answer_timeout_s
 
-    def _ask(self) -> None:
-        self._next.cancel()
-        after = self._generation if self._numbered_by == self._address else 0
+    def _open_call(self) -> None:
+        self._retry_timer.cancel()
+        after = self._generation if self._generation_address == self._address else 0
         try:
-            self._asked.append(Call(self, self._loop, self._address, after))
+            self._unanswered.append(WatchCall(self, self._loop, self._address, after))
         except OSError as error:
-            return self._again(str(error))
-        if len(self._asked) > ASKED_MOST:
-            self._asked.pop(0).close()
+            return self._retry(str(error))
+        if len(self._unanswered) > MAX_UNANSWERED_CALLS:
+            self._unanswered.pop(0).close()
         return None
 
-    def _again(self, why: str) -> None:
+    def _retry(self, why: str) -> None:
         wait = self._backoff.next_delay()
         self._loop.log("discovery watch lost", f"{why}; again in {wait:.2f} s")
-        if not self._next.running:
-            self._next.set(wait, self._ask)
+        if not self._retry_timer.running:
+            self._retry_timer.set(wait, self._open_call)
 
-    def _let_go_of_asked(self) -> None:
-        for call in self._asked:
+    def _close_unanswered(self) -> None:
+        for call in self._unanswered:
             call.close()
-        self._asked.clear()
+        self._unanswered.clear()
 
-    # ---- what calls tell ----
+    # ---- responses ----
 
-    def ended(self, call: Call, why: str) -> None:
-        """A call is over, and closed; what it has told stays in use."""
-        if call is self._serving:
-            self._serving = None
-        elif call in self._asked:
-            self._asked.remove(call)
-        self._again(why)
+    def call_ended(self, call: WatchCall, why: str) -> None:
+        """A call has ended and is closed; the list that it brought stays in use."""
+        if call is self._active:
+            self._active = None
+        elif call in self._unanswered:
+            self._unanswered.remove(call)
+        self._retry(why)
 
-    def said(self, call: Call, message: dict[str, Any] | None) -> None:
-        """A word of a call: a message, or None where nothing has changed. Raises ValueError."""
-        before, self._heard = self._heard, self._loop.now
+    def message_received(self, call: WatchCall, message: dict[str, Any] | None) -> None:
+        """A call has brought a message, or None for an empty line. Raises ValueError."""
+        before, self._last_message_at = self._last_message_at, self._loop.now
         if message is not None:
-            self._message(call, message, MessageTimes(self._loop.now, before if self.answered else -math.inf))
-        elif call.address != self._numbered_by:
-            return  # asked for a whole list, it has told nothing yet
-        if call is not self._serving:
-            self._serve_from(call)
-
-    def _serve_from(self, call: Call) -> None:
-        """It has answered: let go of all the others."""
-        old, self._serving, self.answered = self._serving, call, True
-        self._asked.remove(call)
-        self._let_go_of_asked()
-        self._next.cancel()
+            self._apply(call, message, MessageTimes(self._loop.now, before if self.answered else -math.inf))
+        elif call.address != self._generation_address:
+            return  # it was asked for the whole list and has not sent it yet
+        if call is not self._active:
+            self._make_active(call)
+
+    def _make_active(self, call: WatchCall) -> None:
+        """Use a call that has been answered and close all others."""
+        old, self._active, self.answered = self._active, call, True
+        self._unanswered.remove(call)
+        self._close_unanswered()
+        self._retry_timer.cancel()
         self._backoff.reset()
         if old is not None:
             old.close()
 
-    def _message(self, call: Call, message: dict[str, Any], told: MessageTimes) -> None:
+    def _apply(self, call: WatchCall, message: dict[str, Any], received: MessageTimes) -> None:
         try:
             generation = int(message["generation"])
-            held = self._generation if call.address == self._numbered_by else 0
-            if generation < held and self._loop.now < self._older_until:
-                # What is held came later: it may tell of a drain that this list does not. A register that has
-                # begun to number anew says the same when asked again, and is believed then.
-                raise ValueError(f"a list of generation {generation}, and {held} is held")
-            if call is not self._serving and call.after <= generation < held:
-                return  # it crossed a later one of the call before; this call brings that next, too
-            servers = self._worker_list.parse(message, told)
+            known = self._generation if call.address == self._generation_address else 0
+            if generation < known and self._loop.now < self._reject_older_until:
+                # The known list is later and may contain a drain that this one does not. A discovery that has
+                # started to count anew sends the same when called again, and is believed after that time.
+                raise ValueError(f"a list of generation {generation}, and {known} is known")
+            if call is not self._active and call.after_generation <= generation < known:
+                return  # overtaken by a later list of the active call; this call sends that one next
+            servers = self._worker_list.parse(message, received)
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"an entry: {type(error).__name__} {error}") from error
-        self._generation, self._numbered_by = generation, call.address
-        self._listed(i.ListKind.FULL if message.get("reset") else i.ListKind.CHANGES, servers)
+        self._generation, self._generation_address = generation, call.address
+        self._listed(interface.ListKind.FULL if message.get("reset") else interface.ListKind.CHANGES, servers)
--- a/yewhook/platform/front.py
+++ b/yewhook/platform/front.py
@@ -1,4 +1,4 @@
-"""Puts the platform's front together."""
+"""The platform front: builds the client side, the worker side, the discovery watch and the peer messages."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from hopshed import interface as i
+from hopshed import interface
 from hopshed.handover import LearnedState
 
 from ..config import Config
@@ -19,74 +19,86 @@
 from .clients import ClientFront
 from .discovery import Watch
 from .peers import Peers
-from .reservations import delete
+from .reservations import delete_reservation
 from .workers import HttpWorkers, WorkerPool
 
 if TYPE_CHECKING:
     from ..operations.handover_encoding import HandOver
     from ..recovery.snapshot_store import SnapshotStore
 
-# First byte of the messages between routers that belong to the recovery; the module's begin with others
+# First byte of recovery messages between routers; those of the routing module begin with other bytes
 RECOVERY_MESSAGE_MARK = b"P"
-# Servers from which on connections to those that have gone are not looked for at each message, and the s for
-# each of them between looks: some 100 times what one costs.
-MANY_SERVERS, CLOSE_UNUSED_EVERY = 400, 5e-5
-FIRST_WORD = 0.25  # s that a process waits for discovery's first word; while that is down, none comes
+# From this number of servers on, connections to servers that have gone are not closed at each message but at
+# intervals of this length for each server. A search for them takes about 1/100 of the interval.
+LARGE_FLEET_SERVERS = 400
+CLOSE_UNUSED_INTERVAL_PER_SERVER_S = 5e-5
+FIRST_LIST_TIMEOUT_S = 0.25  # for which a new process waits for discovery's first list; it may be down
 
 
 class PlatformFront(RouterFront):
+    """Serves the platform's protocol: HTTP/1.1 to clients, workers and discovery."""
+
     front_name = "platform"
 
     def __init__(
         self,
         loop: Loop,
         config: Config,
-        room: ResourceBudget,
-        read_again: Callable[[], Config],
-        succeeds: bool = False,
-        handed: HandOver | None = None,
+        budget: ResourceBudget,
+        read_config: Callable[[], Config],
+        has_predecessor: bool = False,
+        handover: HandOver | None = None,
         snapshot_store: SnapshotStore | None = None,
     ) -> None:
-        """`succeeds` = another process of this instance serves still; `handed` = what that knows;
-        `snapshot_store` keeps what a process after this one goes on from."""
-        self._config, self._read_again, self._snapshot_store = config, read_again, snapshot_store
+        """Listen for clients and connect to discovery.
+
+        `read_config` reads the configuration again for a reload. `has_predecessor` says that another process
+        of this instance is still serving, and `handover` is the state that it has handed over.
+        `snapshot_store` saves the state that a process started later restores.
+        """
+        self._config, self._read_config, self._snapshot_store = config, read_config, snapshot_store
         self.pool = pool = WorkerPool(
-            loop, room.can_open_worker, config.connect_timeout, config.idle_limit, config.settings.may_resume
+            loop,
+            budget.can_open_worker,
+            config.connect_timeout,
+            config.idle_limit,
+            config.settings.may_resume,
         )
         super().__init__(
             loop,
             config.settings,
             config.names,
-            lambda address, request_id, done: delete(pool, address, request_id, done),
+            lambda address, request_id, done: delete_reservation(pool, address, request_id, done),
             pool.liveness,
         )
         self.workers = HttpWorkers(pool, config.names.columns, self.worker_list, self.releases.release)
         self.recovery = snapshot_store.recovery if snapshot_store is not None else None
         self.create_router(self.workers, config.seed)
-        self._resumed, self._began = handed is not None, loop.now
-        generation = self._resume(handed) if handed is not None else self._begin()
+        self._resumed, self._began_at = handover is not None, loop.now
+        generation = self._resume(handover) if handover is not None else self._load_known_workers()
         self.peers: Peers | None = None
         if config.settings.may_tell and config.peer_listen and config.peer_broadcast:
             self.peers = Peers(
-                loop, config.peer_listen, config.peers, config.peer_broadcast, self._peer_said, succeeds
-            )
+                loop, config.peer_listen, config.peers, config.peer_broadcast,
+                self._peer_message_received, has_predecessor,
+            )  # fmt: skip
             self.router.tell = self.peers.tell
-        self.clients = ClientFront(loop, self.router, config.names, room.body_bytes)
+        self.clients = ClientFront(loop, self.router, config.names, budget.body_bytes)
         listener = adopt_listener(config.accept_fd) if config.accept_fd is not None else None
-        self.open(self.clients, config.listen, room, "the platform's", listener)
-        self._unused = Throttle(loop, self._close_unused)
-        # The router's seed is new with each start and another at each router.
+        self.open(self.clients, config.listen, budget, "the platform's", listener)
+        self._close_unused_throttle = Throttle(loop, self._close_unused)
+        # The router's seed differs at each start and at each router.
         self.watch = Watch(
             loop, config.discovery, generation, self.worker_list, self._listed,
             config.settings.instances, Random(config.seed),
         )  # fmt: skip
-        if handed is not None:
-            self.watch.held_is_fresh()
+        if handover is not None:
+            self.watch.reject_older_lists()
         if snapshot_store is not None:
             snapshot_store.start(self, self.router.tell)
 
-    def _begin(self) -> int:
-        """Go on from the configuration's list; its generation."""
+    def _load_known_workers(self) -> int:
+        """Start from the list in the configuration, and what the snapshot adds; returns its generation."""
         try:
             known = self.worker_list.parse(self._config.known_workers, MessageTimes(self.loop.now))
         except (KeyError, TypeError, ValueError) as error:
@@ -94,34 +106,35 @@
             known = ()
         if self._snapshot_store is not None:
             known = self.worker_list.add(self._snapshot_store.initial_servers(known))
-        self.router.servers_listed(i.ListKind.SAVED, known)
+        self.router.servers_listed(interface.ListKind.SAVED, known)
         return int(self._config.known_workers.get("generation") or 0)
 
-    def _peer_said(self, sender: int, data: bytes) -> None:
+    def _peer_message_received(self, sender: int, data: bytes) -> None:
         if self._snapshot_store is not None and data[:1] == RECOVERY_MESSAGE_MARK:
             self._snapshot_store.message_received(sender, data)
         else:
             self.router.peer_message(sender, data)
 
-    def _resume(self, handed: HandOver) -> int:
-        """Go on from what a predecessor knows."""
+    def _resume(self, handover: HandOver) -> int:
+        """Start from the state of the preceding process; returns its list's generation."""
         from ..operations import handover_encoding
 
         self.router.servers_listed(
-            i.ListKind.SAVED, self.worker_list.resume(handover_encoding.from_listed(handed.servers))
+            interface.ListKind.SAVED,
+            self.worker_list.resume(handover_encoding.from_listed(handover.servers)),
         )
         try:
-            self.router.resume(handed.told_off, handed.module)
+            self.router.resume(handover.told_off, handover.module)
         except ValueError as error:
             self.loop.log("hand-over passed over", f"what the module has learnt: {error}")
-        return handed.generation
+        return handover.generation
 
     def handover_state(self, drained: bool) -> HandOver:
-        """What a successor goes on from."""
+        """Returns the state for a succeeding process."""
         return self._state(drained, self.router.split_learned_state())
 
     def state(self) -> HandOver:
-        """What a process goes on from that comes after this one's end."""
+        """Returns the state for a process started after this one has ended."""
         return self._state(False, self.router.export_learned_state())
 
     def _state(self, drained: bool, module: LearnedState) -> HandOver:
@@ -137,49 +150,59 @@
         )
 
     def set_mode(self, mode: FrontMode) -> None:
+        """Put a mode in force; the peer socket is closed while a successor uses the address."""
         super().set_mode(mode)
         if self.peers is not None and mode.accepting:
             self.peers.open()
-        elif self.peers is not None and mode.healthy:  # a successor speaks in this router's name
+        elif self.peers is not None and mode.healthy:  # a successor sends under this router's number
             self.peers.close()
 
-    def _listed(self, kind: i.ListKind, servers: tuple[i.Server, ...]) -> None:
+    def _listed(self, kind: interface.ListKind, servers: tuple[interface.Server, ...]) -> None:
         if self._snapshot_store is not None:
             servers = self._snapshot_store.servers_listed(kind, servers, self.watch.generation)
             self.worker_list.set_states(servers)
-        self._unused.trigger()
+        self._close_unused_throttle.trigger()
         self.router.servers_listed(kind, servers)
 
     def _close_unused(self) -> float:
-        """Close what is kept to servers that have gone; s until that may be done again."""
+        """Close kept connections to servers that have gone; returns the seconds until the next search."""
         self.pool.close_others(self.worker_list.active_addresses())
         servers = len(self.worker_list.states)
-        return CLOSE_UNUSED_EVERY * servers if servers >= MANY_SERVERS else 0.0
+        return CLOSE_UNUSED_INTERVAL_PER_SERVER_S * servers if servers >= LARGE_FLEET_SERVERS else 0.0
 
     @property
     def has_workers(self) -> bool:
-        """Only discovery's word is new enough: what it has counts as told from a process's first moment."""
-        heard = self.watch.answered or self._resumed or self.loop.now - self._began >= FIRST_WORD
-        return heard and super().has_workers
+        """Whether a worker is known, and discovery has answered or been waited for.
+
+        A list in the configuration may be out of date, while discovery's own list counts as known from the
+        process's first moment.
+        """
+        waited = (
+            self.watch.answered or self._resumed or self.loop.now - self._began_at >= FIRST_LIST_TIMEOUT_S
+        )
+        return waited and super().has_workers
 
     @property
     def discovery_age(self) -> float:
-        return self.loop.now - self.watch.heard
+        """Seconds since discovery last sent anything."""
+        return self.loop.now - self.watch.last_message_at
 
     def reload(self) -> Callable[[], str]:
-        config = self._read_again()
+        """Read the configuration again; returns a function that puts it in force. Raises ConfigError."""
+        config = self._read_config()
 
         def put_in_force() -> str:
-            """Only where discovery listens can change; all else is what the process was built with."""
+            """Switch to another discovery address; no other change takes effect before a restart."""
             old, self._config = self._config, config
             if config.discovery == old.discovery:
                 return ""
-            self.watch.move(config.discovery)
+            self.watch.switch_address(config.discovery)
             return f"discovery is now at {config.discovery[0]}:{config.discovery[1]}"
 
         return put_in_force
 
     def close(self) -> None:
+        """Close the discovery watch, the snapshot store and the peer socket."""
         self.watch.close()
         if self._snapshot_store is not None:
             self._snapshot_store.close()
--- a/yewhook/platform/peers.py
+++ b/yewhook/platform/peers.py
@@ -1,7 +1,8 @@
-"""Short messages between the routers of a tier, by UDP: late or never, and nobody waits for one.
+"""Short UDP messages between the routers of a tier; they may be delayed or lost, and are never acknowledged.
 
-None wakes the process: hundreds of routers say hundreds of things a second. What has come is read in turns
-that there are, the module's tick among them, and not in each of them.
+A message does not wake the event loop, since hundreds of routers send hundreds of messages a second. The
+socket is polled in turns that take place anyway, at most once per `READ_INTERVAL_S`; the routing module's
+periodic timer ensures that there are such turns.
 """
 
 from __future__ import annotations
@@ -14,83 +15,93 @@
 from ..loop import Loop, Timer
 from ..transient_errors import retry_transient
 
-LONGEST = 256  # bytes of a message; a longer one is not permitted
-AT_ONCE = 64  # messages read in a turn
-PAUSE = 0.02  # s between looks at what has come
-OPEN_AGAIN = 0.05  # s between tries for an address that another process of this instance still has
+MAX_MESSAGE_BYTES = 256
+MAX_MESSAGES_PER_TURN = 64
+READ_INTERVAL_S = 0.02
+BIND_RETRY_S = 0.05  # between attempts to bind while another process of this instance holds the address
 
 
 class Peers:
+    """Sends messages to all other routers of the tier and receives theirs."""
+
     def __init__(
         self,
         loop: Loop,
         listen: Address,
         peers: tuple[Address, ...],
-        everyone: Address,
-        heard: Callable[[int, bytes], None],
-        waits: bool = False,
+        broadcast: Address,
+        message_received: Callable[[int, bytes], None],
+        may_be_bound: bool = False,
     ) -> None:
-        """`peers` = whence each router's messages come, its number being its place; others are not heard.
-        `waits` = another process of this instance may still have the address. Raises OSError."""
-        self._loop, self._everyone, self._heard = loop, everyone, heard
+        """Bind the socket.
+
+        `peers` are the addresses from which the routers send; a router's number is its index, and messages
+        from other addresses are ignored. `may_be_bound` says that another process of this instance may still
+        hold the address, so that binding is retried. Raises OSError.
+        """
+        self._loop, self._broadcast, self._message_received = loop, broadcast, message_received
         self._listen, self._numbers = listen, {address: number for number, address in enumerate(peers)}
         self._socket: socket.socket | None = None
-        self._again, self._looked = Timer(loop), -math.inf
-        if waits:
+        self._bind_timer, self._last_read_at = Timer(loop), -math.inf
+        if may_be_bound:
             self.open()
         else:
-            retry_transient(self._open)
+            retry_transient(self._bind)
 
-    def _open(self) -> None:
-        mine = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        mine.setblocking(False)
+    def _bind(self) -> None:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sock.setblocking(False)
         try:
-            mine.bind(self._listen)
+            sock.bind(self._listen)
         except OSError:
-            mine.close()
+            sock.close()
             raise
-        self._socket = mine
+        self._socket = sock
         self._loop.sockets += 1
         self._loop.pollers.append(self._receive)
 
     def open(self) -> None:
-        """Hear and speak again, once the other process has let the address go."""
+        """Bind the socket if it is closed, and retry for as long as another process holds the address."""
         if self._socket is None:
             try:
-                self._open()
+                self._bind()
             except OSError:
-                self._again.set(OPEN_AGAIN, self.open)
+                self._bind_timer.set(BIND_RETRY_S, self.open)
 
     def tell(self, data: bytes) -> None:
-        """Tell all other routers. What can't be sent is lost like what the network loses."""
+        """Send a message to all other routers; one that cannot be sent is dropped and logged.
+
+        Raises ValueError if it exceeds `MAX_MESSAGE_BYTES`.
+        """
         if self._socket is None:
             return
-        if len(data) > LONGEST:
-            raise ValueError(f"a message of {len(data)} bytes, at most {LONGEST} are permitted")
+        if len(data) > MAX_MESSAGE_BYTES:
+            raise ValueError(f"a message of {len(data)} bytes, at most {MAX_MESSAGE_BYTES} are permitted")
         try:
-            self._socket.sendto(data, self._everyone)
+            self._socket.sendto(data, self._broadcast)
         except OSError as error:
             self._loop.log("message to routers lost", str(error))
 
     def _receive(self) -> None:
-        if self._loop.now - self._looked < PAUSE:
+        if self._loop.now - self._last_read_at < READ_INTERVAL_S:
             return
-        self._looked = self._loop.now
-        for _ in range(AT_ONCE):
+        self._last_read_at = self._loop.now
+        for _ in range(MAX_MESSAGES_PER_TURN):
             if self._socket is None:
                 return
             try:
-                data, sender = self._socket.recvfrom(LONGEST + 1)
+                data, sender = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:
                 self._loop.log("message from routers lost", str(error))
                 return
             if (number := self._numbers.get(sender)) is not None:
-                self._heard(number, data)
+                self._message_received(number, data)
 
     def close(self) -> None:
-        self._again.cancel()
+        """Close the socket and stop binding retries."""
+        self._bind_timer.cancel()
         if self._socket is not None:
             self._loop.pollers.remove(self._receive)
             self._socket.close()
--- a/yewhook/platform/reservations.py
+++ b/yewhook/platform/reservations.py
@@ -1,4 +1,4 @@
-"""The platform's call that lets go of what is held for a request."""
+"""The platform's call that releases the state held for a request."""
 
 from __future__ import annotations
 
@@ -11,31 +11,37 @@
 from .workers import WorkerPool
 
 
-class _Delete:
-    """The exchange of one DELETE."""
+class _DeleteExchange:
+    """The exchange of one DELETE; any 2xx status confirms the release."""
 
     unfinished = False
-    told = 0
+    event_count = 0
 
     def __init__(self, done: DoneCallback) -> None:
         self._done, self._status = done, 0
 
-    def begun(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self._status = status
 
-    def body(self, data: bytes) -> None:
-        """Nothing is expected here."""
+    def body_received(self, data: bytes) -> None:
+        """A body is not expected, and is ignored."""
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         self._done(200 <= self._status < 300)
 
-    def broken(self, ending: Ending) -> None:
+    def failed(self, ending: Ending) -> None:
         self._done(False)
 
 
-def delete(pool: WorkerPool, address: Address, request_id: str, done: DoneCallback) -> Callable[[], None]:
+def delete_reservation(
+    pool: WorkerPool, address: Address, request_id: str, done: DoneCallback
+) -> Callable[[], None]:
+    """Ask a worker to release what is held for a request; `done` receives whether it confirmed.
+
+    Returns a function that gives the call up. Raises OSError where no connection can be opened.
+    """
     request = http.head(
         f"DELETE /internal/reservations/{request_id} HTTP/1.1",
         {"Host": f"{address[0]}:{address[1]}", "Content-Length": "0"},
     )
-    return pool.ask(address, _Delete(done), lambda: request).close
+    return pool.request(address, _DeleteExchange(done), lambda: request).close
--- a/yewhook/platform/workers.py
+++ b/yewhook/platform/workers.py
@@ -1,4 +1,4 @@
-"""The workers' side: a pool of connections, and one HTTP exchange at a time on each."""
+"""Worker side of the platform front: pooled connections that carry one HTTP exchange at a time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import httptools
 
-from hopshed import interface as i
+from hopshed import interface
 
 from .. import load_reports
 from ..channel import Channel
@@ -18,37 +18,45 @@
 from ..loop import Loop, Timer
 from ..worker_list import WorkerList
 from . import http
-from .clients import Call
+from .clients import HttpRequest
 
-STILL = 2.5  # s in which a running stream says nothing, until its client is better off elsewhere
-STILL_ALONE = 4.5  # the same where clients cannot go on elsewhere; none may be kept waiting for 5 s
-STILL_MOMENT = 0.02  # s more where something waits to be read just then
-ANSWER_LIMIT = 64 * 1024  # bytes of an answer that is not a stream
-REST = 0.03  # s that a kept connection stands before its next exchange
-UNFINISHED = 1.0  # s in which a head, a chunk or an event that has begun must go on to its end
-REPORT = "x-pressure"
-REPORT_COMMENT = b": X-Pressure:"
+# Silence after which a running stream is broken off. Clients that can resume it elsewhere are better off
+# then. For the others the limit is higher, but no client may be kept waiting for 5 s.
+STREAM_SILENCE_S = 2.5
+STREAM_SILENCE_NO_RESUME_S = 4.5
+UNREAD_GRACE_S = 0.02  # added to that limit where the kernel holds unread bytes at that moment
+MAX_UNSTREAMED_BODY_BYTES = 64 * 1024  # of a response that is not a stream; the rest is ignored
+REUSE_DELAY_S = 0.03  # for which a kept connection rests before its next exchange
+PARTIAL_TIMEOUT_S = 1.0  # for a head, a chunk or an event that has begun to be completed
+LOAD_REPORT_HEADER = "x-pressure"
+LOAD_REPORT_COMMENT = b": X-Pressure:"
 
 
 class Exchange(Protocol):
-    """What is asked of a worker on one connection."""
+    """The receiver of one response on a worker connection."""
 
-    told: int  # events of a running stream so far
+    event_count: int  # events of the stream so far
 
     @property
     def unfinished(self) -> bool:
-        """Whether a part of the answer has come that makes no sense without what is still to come."""
+        """Whether a part of the response, such as an event, has been received incompletely."""
 
-    def begun(self, status: int, headers: dict[str, str]) -> None: ...
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
+        """The final status and its headers have arrived."""
 
-    def body(self, data: bytes) -> None: ...
+    def body_received(self, data: bytes) -> None:
+        """A part of the body has arrived."""
 
-    def whole(self) -> None: ...
+    def completed(self) -> None:
+        """The response is complete."""
 
-    def broken(self, ending: Ending) -> None: ...
+    def failed(self, ending: Ending) -> None:
+        """The exchange has ended before its response was complete."""
 
 
 class WorkerConnection:
+    """A connection to a worker, its response parser and its timeouts."""
+
     def __init__(self, pool: WorkerPool, address: Address) -> None:
         self.pool, self.address = pool, address
         self.exchange: Exchange | None = None
@@ -56,152 +64,159 @@
         self.idle_since = 0.0
         self._parser: httptools.HttpResponseParser | None = None
         self._headers: dict[str, str] = {}
-        self._head_size = 0
-        self._in_head = self._begun = self._in_chunk = self._complete = self._reusable = False
+        self._head_bytes = 0
+        self._in_head = self._head_begun = self._in_chunk = self._complete = self._reusable = False
         self.channel = Channel.connect(pool.loop, address, self)
-        self._timer = Timer(pool.loop)  # to come up, and for what has begun to end
-        self._compose: Callable[[], bytes] | None = None  # the request, until the connection is up
-        self._asked = pool.loop.now
-        self._heard = 0.0
-        self._still = Timer(pool.loop)  # for a running stream to say something
-        self._timer.set(pool.connect_timeout, self._too_late)
+        self._timer = Timer(pool.loop)  # for connecting, then for a partial head, chunk or event
+        self._compose_request: Callable[[], bytes] | None = None  # set until the connection is up
+        self._requested_at = pool.loop.now
+        self._last_event_at = 0.0
+        self._silence_timer = Timer(pool.loop)
+        self._timer.set(pool.connect_timeout, self._connect_timed_out)
 
     @property
     def written(self) -> bool:
-        """Whether the last byte of what is asked has been handed over."""
+        """Whether the last byte of the request has been handed to the kernel."""
         return self.is_connected and self.channel.written
 
-    def ask(self, exchange: Exchange, compose: Callable[[], bytes]) -> None:
-        """Send a request, composed as its bytes leave: what it says of the time left is right then."""
-        self.exchange, self._asked = exchange, self.pool.loop.now
+    def request(self, exchange: Exchange, compose: Callable[[], bytes]) -> None:
+        """Send a request; `compose` is called as it is sent, so that the remaining time in it is exact."""
+        self.exchange, self._requested_at = exchange, self.pool.loop.now
         self._parser = httptools.HttpResponseParser(self)
-        self._headers, self._head_size = {}, 0
+        self._headers, self._head_bytes = {}, 0
         self._in_head = True
-        self._begun = self._in_chunk = self._complete = self._reusable = False
+        self._head_begun = self._in_chunk = self._complete = self._reusable = False
         if self.is_connected:
             self.channel.send(compose())
         else:
-            self._compose = compose
+            self._compose_request = compose
 
     def close(self) -> None:
+        """Close at once; the exchange is not told."""
         address, liveness = self.address, self.pool.liveness
-        if self.exchange is not None and liveness.heard(address) < self._asked:  # nothing since it was asked
-            liveness.record_missed(address, self.pool.loop.now)
-        self.exchange = self._parser = None  # the parser knows this object, too
+        if self.exchange is not None and liveness.heard(address) < self._requested_at:
+            liveness.record_missed(address, self.pool.loop.now)  # nothing has arrived since the request
+        self.exchange = self._parser = None  # the parser refers back to this object
         self._timer.cancel()
-        self._still.cancel()
+        self._silence_timer.cancel()
         self.channel.abort()
         self.pool.discard(self)
 
     # ---- the channel ----
 
     def connected(self) -> None:
+        """The connection is up; send the request that waits for it. Called by the channel."""
         self.is_connected = True
         self._timer.cancel()
-        if (compose := self._compose) is not None:
-            self._compose = None
+        if (compose := self._compose_request) is not None:
+            self._compose_request = None
             self.channel.send(compose())
 
     def limit_connect_time(self, within: float) -> None:
-        """Give up a connection that is not up in so many s, though it may take longer otherwise."""
+        """Shorten the connect timeout to `within` seconds where that is less than the pool's."""
         if not self.is_connected and within < self.pool.connect_timeout:
-            self._timer.set(within, self._too_late)
+            self._timer.set(within, self._connect_timed_out)
 
-    def _too_late(self) -> None:
-        self._broken(Ending.CONNECT_SILENT)
+    def _connect_timed_out(self) -> None:
+        self._fail(Ending.CONNECT_SILENT)
 
     def drained(self) -> None:
-        """What is asked has been written whole."""
+        """The request has been written whole; called by the channel."""
 
     def received(self, data: bytes) -> None:
+        """Parse bytes from the worker; called by the channel."""
         self.pool.liveness.record_heard(self.address, self.pool.loop.now)
         if self.exchange is None or self._parser is None:
-            return self.close()  # bytes that nobody asked for
+            return self.close()  # bytes without a request
         if self._in_head:
-            self._heard = self.pool.loop.now
-            self._head_size += len(data)
+            self._last_event_at = self.pool.loop.now
+            self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
-            if self._in_head and self._head_size > http.HEAD_LIMIT:
-                raise httptools.HttpParserError("a head without end")
+            if self._in_head and self._head_bytes > http.MAX_HEAD_BYTES:
+                raise httptools.HttpParserError("the head is too large")
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._reusable = False
-            if not self._complete:  # what follows a whole answer spoils the connection, not the answer
-                return self._garbled(str(error.__context__ or error))
+            if not self._complete:  # bytes after a complete response make only the connection unusable
+                return self._fail_malformed(str(error.__context__ or error))
         if self._complete:
-            return self._whole()
-        return self._watch_progress()
+            return self._end_exchange()
+        return self._limit_partial()
 
-    def _whole(self) -> None:
+    def _end_exchange(self) -> None:
         exchange, self.exchange = self.exchange, None
         self._timer.cancel()
-        self._still.cancel()
+        self._silence_timer.cancel()
         if self._reusable and self.written:
             self.pool.put_back(self)
         else:
             self.close()
         if exchange is not None:
-            exchange.whole()
+            exchange.completed()
 
-    def _watch_progress(self) -> None:
-        """What has begun must end: a head or a chunk may be said to go on for ever."""
+    def _limit_partial(self) -> None:
+        """Limit the time for a head, chunk or event that has begun: its stated size may never arrive."""
         if self.exchange is None:
             return
-        if (self._begun and self._in_head) or self._in_chunk or self.exchange.unfinished:
+        if (self._head_begun and self._in_head) or self._in_chunk or self.exchange.unfinished:
             if not self._timer.running:
-                self._timer.set(UNFINISHED, self._stuck)
+                self._timer.set(PARTIAL_TIMEOUT_S, self._partial_timed_out)
         else:
             self._timer.cancel()
 
     def _watch_stream(self) -> None:
-        """A running stream has no deadline, and a machine that has fallen silent never ends one."""
-        if self.channel.paused:  # by us, since the client is slow
-            self._heard = self.pool.loop.now
-        left = self._heard + self.pool.still - self.pool.loop.now
+        """Break off a silent stream: it has no deadline, and a hung machine never ends it."""
+        if self.channel.paused:  # by the router, since the client is slow
+            self._last_event_at = self.pool.loop.now
+        left = self._last_event_at + self.pool.stream_silence_s - self.pool.loop.now
         if left > 0:
-            self._still.set(left, self._watch_stream)
-        elif self.channel.unread:  # it has come in this very turn
-            self._still.set(STILL_MOMENT, self._watch_stream)
+            self._silence_timer.set(left, self._watch_stream)
+        elif self.channel.unread:  # it arrived in this turn of the loop
+            self._silence_timer.set(UNREAD_GRACE_S, self._watch_stream)
         else:
             self.pool.log("stream stands still", f"{self.address[0]}:{self.address[1]}")
-            self._broken(Ending.WORKER_STALLED)
+            self._fail(Ending.WORKER_STALLED)
 
-    def _stuck(self) -> None:
-        if self.channel.paused:  # by us, since the client is slow
-            return self._watch_progress()
-        return self._garbled("it began and did not go on to its end")
+    def _partial_timed_out(self) -> None:
+        if self.channel.paused:  # by the router, since the client is slow
+            return self._limit_partial()
+        return self._fail_malformed("a head, chunk or event was begun and not completed in time")
 
-    def _garbled(self, why: str) -> None:
+    def _fail_malformed(self, why: str) -> None:
         self.pool.log("worker answer not understood", f"{self.address[0]}:{self.address[1]} {why}")
-        self._broken(Ending.GARBLED)
+        self._fail(Ending.GARBLED)
 
     def lost(self, error: OSError | None) -> None:
+        """The connection was refused, closed or reset; called by the channel."""
         if not self.is_connected:
-            return self._broken(Ending.CONNECT_REFUSED)
+            return self._fail(Ending.CONNECT_REFUSED)
         if not self.written:
-            return self._broken(Ending.BROKEN_UNSENT)
-        return self._broken(Ending.CLOSED if error is None else Ending.BROKEN)
+            return self._fail(Ending.BROKEN_UNSENT)
+        return self._fail(Ending.CLOSED if error is None else Ending.BROKEN)
 
-    def _broken(self, ending: Ending) -> None:
+    def _fail(self, ending: Ending) -> None:
         exchange = self.exchange
         self.close()
         if exchange is not None:
-            exchange.broken(ending)
+            exchange.failed(ending)
 
     # ---- the parser ----
 
-    # An answer may be preceded by informational ones (1xx); whatever follows it belongs to nobody.
+    # Informational responses (1xx) may precede a response; anything after it belongs to no request.
 
     def on_message_begin(self) -> None:
-        self._begun = True
+        """Parser callback: a response begins."""
+        self._head_begun = True
         if self._complete:
             self._reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser callback: a header field, or a trailer field, which is ignored."""
         if self._in_head:
             self._headers[name.decode("latin-1").lower()] = http.decode_header(value)
 
     def on_headers_complete(self) -> None:
+        """Parser callback: the head is complete."""
         if not self._in_head or self._parser is None:
             return
         status = self._parser.get_status_code()
@@ -210,34 +225,38 @@
             return
         self._in_head = False
         if self.exchange is not None:
-            self.exchange.begun(status, self._headers)
+            self.exchange.head_received(status, self._headers)
             if status == 200:
                 self._watch_stream()
 
     def on_body(self, body: bytes) -> None:
+        """Parser callback: a part of the body."""
         if (exchange := self.exchange) is not None and not self._complete:
-            told = exchange.told
-            exchange.body(body)
-            if exchange.told > told:  # bytes alone are no sign of life: some answers go on and say nothing
-                self._heard = self.pool.loop.now
+            event_count = exchange.event_count
+            exchange.body_received(body)
+            if exchange.event_count > event_count:  # bytes without an event do not show that it progresses
+                self._last_event_at = self.pool.loop.now
 
     def on_chunk_header(self) -> None:
+        """Parser callback: a chunk begins."""
         self._in_chunk = True
 
     def on_chunk_complete(self) -> None:
+        """Parser callback: a chunk ends."""
         self._in_chunk = False
-        self._timer.cancel()  # it goes on; an event over many chunks is bounded by its size
+        self._timer.cancel()  # an event spread over many chunks is limited by its size instead
 
     def on_message_complete(self) -> None:
-        if self._in_head:  # the end of an informational one
-            self._begun = False
+        """Parser callback: a response ends."""
+        if self._in_head:  # an informational one
+            self._head_begun = False
         elif not self._complete and self._parser is not None:
             self._complete = True
-            self._reusable = self._parser.should_keep_alive()  # known only here: the parser starts anew
+            self._reusable = self._parser.should_keep_alive()  # the parser forgets it after this callback
 
 
 class WorkerPool(ConnectionPool[WorkerConnection]):
-    """The connections to workers, those in use and those kept for the next exchange."""
+    """The connections to workers: those in use and those kept for later exchanges."""
 
     def __init__(
         self,
@@ -245,39 +264,47 @@
         room: Callable[[], bool],
         connect_timeout: float,
         idle_limit: float,
-        streams_move: bool = True,
+        clients_resume: bool = True,
     ) -> None:
-        """`streams_move` = clients ask for the rest of a stream that is broken off, and get it elsewhere."""
-        super().__init__(loop, room, idle_limit, lambda address: WorkerConnection(self, address), REST)
+        """Create an empty pool.
+
+        `room` tells whether another socket may be opened; the timeouts are in seconds. `clients_resume` says
+        that clients request the rest of a broken stream from another router.
+        """
+        super().__init__(
+            loop, room, idle_limit, lambda address: WorkerConnection(self, address), REUSE_DELAY_S
+        )
         self.log, self.connect_timeout = loop.log, connect_timeout
-        self.still = STILL if streams_move else STILL_ALONE  # s that a running stream may say nothing
+        self.stream_silence_s = STREAM_SILENCE_S if clients_resume else STREAM_SILENCE_NO_RESUME_S
 
-    def ask(self, address: Address, exchange: Exchange, compose: Callable[[], bytes]) -> WorkerConnection:
-        """Ask on a kept or a new connection. Raises OSError where none can be opened."""
+    def request(self, address: Address, exchange: Exchange, compose: Callable[[], bytes]) -> WorkerConnection:
+        """Send a request on a kept or a new connection. Raises OSError where none can be opened."""
         connection = self.acquire(address)
-        connection.ask(exchange, compose)
+        connection.request(exchange, compose)
         return connection
 
 
 class AttemptExchange:
-    """One attempt at one worker, from its answer's head to its end."""
+    """One attempt of a request at one worker; passes its events and its end to the core."""
 
     def __init__(self, workers: HttpWorkers, request_id: str, attempt: int) -> None:
         self.workers, self.request_id, self.number = workers, request_id, attempt
         self.connection: WorkerConnection | None = None
-        self.told = 0
+        self.event_count = 0
         self._status = 0
         self._headers: dict[str, str] = {}
         self._body = bytearray()
         self._events = http.EventSplitter()
-        self._found = 0
-        self._load: i.Load | None = None
+        self._cached_tokens = 0
+        self._load: interface.Load | None = None
 
     def begin(self, address: Address, compose: Callable[[], bytes], within: float) -> None:
-        self.connection = self.workers.pool.ask(address, self, compose)
+        """Send the request; the connection must be up within so many seconds."""
+        self.connection = self.workers.pool.request(address, self, compose)
         self.connection.limit_connect_time(within)
 
     def give_up(self) -> bool:
+        """Abandon the attempt; returns whether the request had been written whole."""
         if self.connection is None:
             return False
         written = self.connection.written
@@ -286,87 +313,95 @@
 
     @property
     def on_its_way(self) -> bool:
+        """Whether a byte of the request may have been sent."""
         return self.connection is not None and self.connection.is_connected
 
     def pause(self, paused: bool) -> None:
+        """Stop or resume reading the response."""
         if self.connection is not None:
             self.connection.channel.pause(paused)
 
     def catch_up(self) -> None:
+        """Read what has arrived so far."""
         if self.connection is not None:
             self.connection.channel.catch_up()
 
     @property
     def unfinished(self) -> bool:
+        """Whether an event has been received incompletely."""
         return self._events.unfinished
 
-    def begun(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
+        """Keep status and headers, and read the load report among them."""
         self._status, self._headers = status, headers
-        if REPORT in headers:
-            self._hear(headers[REPORT])
+        if LOAD_REPORT_HEADER in headers:
+            self._read_load_report(headers[LOAD_REPORT_HEADER])
 
-    def _hear(self, text: str | bytes) -> None:
+    def _read_load_report(self, text: str | bytes) -> None:
         self._load = (
             load_reports.parse_load(load_reports.parse_json(text), self.workers.columns) or self._load
         )
 
-    def body(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
+        """Pass on the events of a stream; keep the body of any other response."""
         if self._status != 200:
-            if len(self._body) < ANSWER_LIMIT:
+            if len(self._body) < MAX_UNSTREAMED_BODY_BYTES:
                 self._body += data
             return
         for event in self._events.feed(data):
-            self._event(event)
+            self._pass_on(event)
 
-    def _event(self, event: bytes) -> None:
-        """Pass an event on unchanged; the report, which is for routers, stays here."""
-        while event.startswith(REPORT_COMMENT):
+    def _pass_on(self, event: bytes) -> None:
+        """Pass on an event unchanged, except for load reports, which are meant for routers only."""
+        while event.startswith(LOAD_REPORT_COMMENT):
             line, _, event = event.partition(b"\n")
-            self._hear(line[len(REPORT_COMMENT) :])
+            self._read_load_report(line[len(LOAD_REPORT_COMMENT) :])
             event = event.lstrip(b"\r\n")
         if not event:
             return
-        self.told += not event.startswith(b":")
+        self.event_count += not event.startswith(b":")
         if b'"usage"' in event:
-            self._found = cached(event) or self._found
+            self._cached_tokens = cached_tokens(event) or self._cached_tokens
         self.workers.listener.stream_event(self.request_id, self.number, event)
 
-    def whole(self) -> None:
+    def completed(self) -> None:
+        """Report the end of the attempt, as its status tells it."""
         if rest := self._events.rest():
-            self._event(rest)
+            self._pass_on(rest)
         status, turned_away = self._status, self._headers.get("x-turned-away") == "1"
         if status == 200:
             ending = Ending.SERVED
         elif status == 202:
             ending = Ending.READ
-            self._found = stated(load_reports.parse_json(bytes(self._body)), "cached_tokens")
+            self._cached_tokens = token_count_at(load_reports.parse_json(bytes(self._body)), "cached_tokens")
         elif status == 410:
             ending = Ending.STATE_GONE
         elif status in (503, 504) and turned_away:
             ending = Ending.TURNED_AWAY
         else:
             ending = Ending.ERROR
-        self.workers.end(self, ending, self._found, self._load)
+        self.workers.end(self, ending, self._cached_tokens, self._load)
 
-    def broken(self, ending: Ending) -> None:
-        self.workers.end(self, ending, self._found, self._load)
+    def failed(self, ending: Ending) -> None:
+        """Report the end of the attempt without a complete response."""
+        self.workers.end(self, ending, self._cached_tokens, self._load)
 
 
-def stated(value: Any, *path: str) -> int:
-    """A number of tokens within an answer; 0 where none is stated there."""
+def token_count_at(value: Any, *path: str) -> int:
+    """Returns the number of tokens at a path of keys in decoded JSON; 0 where there is none."""
     for name in path:
         value = value.get(name) if isinstance(value, dict) else None
     return load_reports.token_count(value)
 
 
-def cached(event: bytes) -> int:
-    """The kept tokens that a stream's usage event states."""
-    said = load_reports.parse_json(event.partition(b"data:")[2])
-    return stated(said, "usage", "prompt_tokens_details", "cached_tokens")
+def cached_tokens(event: bytes) -> int:
+    """Returns the number of cached prompt tokens in a stream's usage event; 0 where it has none."""
+    usage = load_reports.parse_json(event.partition(b"data:")[2])
+    return token_count_at(usage, "usage", "prompt_tokens_details", "cached_tokens")
 
 
 class HttpWorkers(PendingAttempts[AttemptExchange]):
-    """The core's `Workers` over HTTP."""
+    """Implements the core's `Workers` over HTTP."""
 
     def __init__(
         self,
@@ -375,13 +410,19 @@
         worker_list: WorkerList,
         release: ReleaseFunction,
     ) -> None:
+        """`columns` are the fields of a load report, as the settings name them."""
         super().__init__(pool.loop, worker_list, release)
         self.pool, self.columns = pool, columns
 
     def send(
         self, request_id: str, attempt: int, server: int, call: object, timeout: float, begins: float
     ) -> None:
-        assert isinstance(call, Call)
+        """Send one attempt.
+
+        `call` is the client's `HttpRequest`, `timeout` its remaining time, and `begins` the time in which the
+        connection must be up; both are in seconds.
+        """
+        assert isinstance(call, HttpRequest)
         fields = {"host": "worker", "content-type": "application/json"} | http.end_to_end(call.headers)
         fields |= {"X-Txn": request_id, "Content-Length": str(len(call.body))}
         start = f"{call.method.decode('latin-1')} {call.target.decode('latin-1')} HTTP/1.1"
