--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers of workers with anything before, within or behind them."""
+"""Tests of worker responses with unexpected bytes before, within or after them."""
 
 from __future__ import annotations
 
@@ -15,8 +15,11 @@
 from yewhook.platform.workers import WorkerConnection, WorkerPool
 
 
-def fed(*parts: bytes) -> tuple[list[int], list[str], bool]:
-    """What an exchange hears of an answer in these reads: its statuses, its end, and if it is kept."""
+def receive(*parts: bytes) -> tuple[list[int], list[str], bool]:
+    """Returns what an exchange receives of a response that arrives in these reads.
+
+    That is its statuses, its body parts with its end, and whether its connection is kept.
+    """
     loop = Loop(RecordingLog(), Clock())
     pool = WorkerPool(loop, lambda: True, 0.25, 30.0)
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -24,7 +27,7 @@
         connection.connected()
         heard: tuple[list[int], list[str]] = ([], [])
 
-        class Heard:
+        class RecordingExchange:
             unfinished, event_count = False, 0
 
             def head_received(self, status: int, headers: dict[str, str]) -> None:
@@ -39,7 +42,7 @@
             def failed(self, ending: Ending) -> None:
                 heard[1].append(ending.name)
 
-        connection.request(Heard(), lambda: b"")
+        connection.request(RecordingExchange(), lambda: b"")
         for part in parts:
             connection.received(part)
         kept = bool(pool._idle)
@@ -54,11 +57,11 @@
 @pytest.mark.parametrize(
     ("parts", "statuses", "said", "kept"),
     [
-        # An informational answer ended the exchange as an error, though the answer was still to come.
+        # An informational response ended the exchange as an error, though the final response followed it.
         ([b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD + LAST], [200], ["whole"], True),
         ([b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n", HEAD, LAST], [200], ["whole"], True),
         ([b"HTTP/1.1 101 Switching Protocols\r\n\r\n" + HEAD], [], ["GARBLED"], False),
-        # A second answer in the same read put its status in the place of the first one's.
+        # The status of a second response in the same read replaced that of the first.
         ([HEAD + LAST + answer("404")], [200], ["whole"], False),
         ([HEAD + LAST + b"noise"], [200], ["whole"], False),
         ([answer("503", turned="1") + HEAD + chunk("x") + LAST], [503], ["whole"], False),
@@ -70,40 +73,40 @@
         ([HEAD + b"0\r\nX-Turned-Away: 1\r\n\r\n"], [200], ["whole"], True),
     ],
 )
-def test_only_what_belongs_to_an_answer_is_taken_for_it(
+def test_bytes_outside_a_response_are_not_taken_for_it(
     parts: list[bytes], statuses: list[int], said: list[str], kept: bool
 ) -> None:
-    assert fed(*parts) == (statuses, said, kept)
+    assert receive(*parts) == (statuses, said, kept)
 
 
 @pytest.mark.parametrize("how", ["chunk_size text=c0000000", "chunk_size text=zz"])
-def test_a_stream_spoilt_midway_breaks_off_and_its_connection_is_not_kept(p: Platform, how: str) -> None:
-    # A chunk said to hold 3 GB was read on until half a megabyte had come.
+def test_a_malformed_stream_is_broken_off_and_its_connection_is_not_kept(p: Platform, how: str) -> None:
+    # A chunk with a stated size of 3 GB was read until half a megabyte had arrived.
     p.play(begin() + f"writer send stream\nwriter send event text=a\nclient expect a\nwriter send {how}")
     p.play("wait 1.1\nclient expect closed\nwriter expect closed")
     assert "0\r\n\r\n" not in p.parties["client"].text
 
 
-def test_a_chunk_that_keeps_coming_is_cut_off_by_its_size(p: Platform) -> None:
+def test_an_oversized_chunk_is_cut_off(p: Platform) -> None:
     p.play(begin() + "writer send stream\nwriter send event text=a\nclient expect a")
     p.play("writer send chunk_size text=c0000000")
     p.parties["writer"].send(b"x" * 200_000)
     p.play("wait 0.2\nclient expect closed\nwriter expect closed")
 
 
-def test_a_spoilt_opening_may_have_run(p: Platform) -> None:
+def test_a_request_with_a_malformed_response_may_have_run(p: Platform) -> None:
     p.play(begin("lane=service-log") + "writer send raw text=noise\nclient expect HTTP/1.1 502\nwait 1")
     assert p.parties["writer"].heard.count("POST /v1/chat") == 1
 
 
-def test_a_head_that_does_not_end_is_not_waited_for(p: Platform) -> None:
+def test_a_head_that_is_not_completed_times_out(p: Platform) -> None:
     p.play(begin("lane=service-log"))
     p.parties["writer"].send(b"HTTP/1.1 200 OK\r\nX: y")
     p.play("wait 1.1\nclient expect HTTP/1.1 502")
 
 
-def test_a_second_answer_is_not_taken_for_that_to_the_next_request(p: Platform) -> None:
-    # It came just after the connection had been kept, and the next request was served with it.
+def test_a_second_response_is_not_taken_for_that_to_the_next_request(p: Platform) -> None:
+    # It arrived just after the connection had been kept, and was taken for the response to the next request.
     p.play(begin("id=r1") + "writer send stream\nwriter send event text=a\nwriter send last\nclient expect a")
     p.play("client expect 0\nclient send ask id=r2\nreader expect POST\nreader send read")
     p.parties["writer"].send(HEAD + chunk('data: "stolen"\n\n') + LAST)
@@ -118,21 +121,21 @@
      '{"latency_ms":9,"x0":1e999,"x1":1}', '{"latency_ms":9,"x0":-1,"x1":1}', "9" * 5000, '{"x0":true}',
      '{"latency_ms":%s,"x0":1,"x1":1}' % ("9" * 400)],
 )  # fmt: skip
-def test_a_report_that_cannot_be_read_is_only_missing(text: str) -> None:
-    # Depth and infinities were exceptions, or figures that spoilt every average they entered.
+def test_a_malformed_load_report_is_ignored(text: str) -> None:
+    # Deep nesting and infinities raised exceptions, or distorted every average that they entered.
     assert load_reports.parse_load(load_reports.parse_json(text), ("avg_ms", "x0", "x1")) is None
     assert load_reports.token_count(load_reports.parse_json(text)) == 0
 
 
-def test_a_report_is_found_under_either_name() -> None:
+def test_a_load_report_may_use_either_field_name() -> None:
     load = load_reports.parse_load(
         load_reports.parse_json('{"latency_ms":500,"x0":0.5}'), ("avg_ms", "x0", "x1")
     )
     assert load == Load(service_time=0.5, memory_share=0.5)
 
 
-def test_a_stream_that_stands_still_is_broken_off_and_the_worker_is_in_doubt(p: Platform) -> None:
-    # A machine that had fallen silent kept its clients waiting, and the module heard nothing of it.
+def test_a_silent_stream_is_broken_off_and_counts_against_its_worker(p: Platform) -> None:
+    # A hung machine kept its clients waiting, and the routing module was not informed.
     p.play(begin() + "writer send stream\nwriter send event text=a\nclient expect a\nwait 2\n")
     p.play("writer send event text=b\nclient expect b\nwait 2")
     assert not p.parties["client"].ended
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,7 @@
-"""Where two events cross: on real connections, in the bad order, every time. The tables stand in
-docs/design/crossings.md."""
+"""Tests of races between two events, on real connections and always in the unfavourable order.
+
+docs/design/crossings.md lists them.
+"""
 
 from __future__ import annotations
 
@@ -18,10 +20,12 @@
 from yewhook.operations.instance import State
 from yewhook.platform.clients import ClientConnection
 
-NO_RESUME = {"extra": ENV["extra"] | {"resume": False}}  # streams are cut at the last moment only
+NO_RESUME_ENV = {
+    "extra": ENV["extra"] | {"resume": False}
+}  # without it, streams are broken off only at the last moment
 
 
-def streaming(p: Platform, request: str = "r1", client: str = "client") -> None:
+def start_stream(p: Platform, request: str = "r1", client: str = "client") -> None:
     p.play(f"""
         {client} send ask id={request}
         reader expect {{"stream":true}}
@@ -33,7 +37,7 @@
     """)
 
 
-# ---- a client that has gone ----
+# ---- clients that disconnect ----
 
 
 @pytest.mark.parametrize("body", ['{"stream":true}', "x" * 200_000])
@@ -41,15 +45,15 @@
 def test_a_client_that_asked_and_left_before_it_was_read_gets_no_attempt(
     p: Platform, body: str, reset: bool
 ) -> None:
-    # Its request was read in one turn and sent on, and its end was read in the next one.
-    streaming(p)  # so that a connection to the reader is kept
+    # The request was read and forwarded in one turn of the loop, and the disconnect was read in the next one.
+    start_stream(p)  # leaves a reusable connection to the reader
     p.play("writer send last\nclient expect 0\nwait 0.1")
     client = p.parties["client"]
     client.begin(socket.create_connection(client.address))
-    p.turn()  # accepted, and nothing has come yet
+    p.turn()  # accepted, and nothing has arrived yet
     size = 0
     data = ask("r2", body=body)
-    while size < len(data):  # the router's turns make room in the kernel for all but the last part
+    while size < len(data):  # the router must read all but the last part to make room in the kernel
         assert client.sock is not None
         size += client.sock.send(data[size : size + 32768])
         if size < len(data):
@@ -60,7 +64,7 @@
     assert not p.front.router.requests and not p.front.router._module.requests
 
 
-def test_a_client_that_left_while_its_connection_waited_to_be_accepted_gets_no_attempt(p: Platform) -> None:
+def test_a_client_that_left_before_it_was_accepted_gets_no_attempt(p: Platform) -> None:
     p.play("client send ask\nclient close\nwait 0.3")
     assert "POST" not in p.parties["reader"].heard
 
@@ -76,7 +80,7 @@
     assert "POST" not in p.parties["writer"].heard
 
 
-def test_what_a_client_that_left_had_waiting_leaves_the_modules_heaps(p: Platform) -> None:
+def test_what_a_client_that_left_had_waiting_leaves_the_modules_queues(p: Platform) -> None:
     module = p.front.router._module
     for n in range(3):
         p.play(f"c{n} send ask id=r{n}\nwait 0.02")
@@ -89,28 +93,29 @@
 # ---- the end of a process ----
 
 
-LEAVES_WITHIN = 2.2  # s of the router's clock after SIGTERM: 1.5 s in which it lasts, and 0.5 s
+# Router time from SIGTERM until no more connections are accepted: 1.5 s in which it serves on, and 0.5 s
+LEAVES_WITHIN_S = 2.2
 
 
-def leaving(p: Platform) -> None:
-    """Go on to the state in which nothing new is accepted."""
+def run_until_leaving(p: Platform) -> None:
+    """Run until the process accepts no more connections, after a SIGTERM if it has had none."""
     if p.service.instance.state is State.READY:
         p.sigterm()
-    end = p.clock.now + LEAVES_WITHIN
+    end = p.clock.now + LEAVES_WITHIN_S
     while p.service.instance.state is not State.LEAVING and p.clock.now < end:
         p.turn(0.002)
     assert p.service.instance.state is State.LEAVING
 
 
-def test_a_request_that_comes_after_the_last_answers_is_refused_and_not_sent_on(p: Platform) -> None:
-    # For 0.2 s more it was taken and sent to a worker, and then the process was gone.
-    streaming(p)
+def test_a_request_that_comes_after_the_last_answers_is_refused(p: Platform) -> None:
+    # For another 0.2 s requests were accepted and sent to workers, and then the process exited.
+    start_stream(p)
     p.sigterm()
     p.wait(1.8)
     half, late = ask("r2"), FakePeer(p.parties["client"].address)
     p.parties["late"] = late
     late.send(half[:-2])
-    leaving(p)
+    run_until_leaving(p)
     while not p.parties["client"].ended:  # until the stream is moved, up to 0.2 s before the last moment
         p.play("writer send event text=on") if not p.parties["writer"].ended else None
         p.wait(0.05)
@@ -122,7 +127,7 @@
 
 
 def test_a_resting_connection_is_not_closed_over_a_request_that_has_just_come(p: Platform) -> None:
-    # It came between the turn's look at the sockets and the sweep of what is due, and was not answered.
+    # A request that arrived between the polling of the sockets and the sweep of idle connections was lost.
     p.play("client send get path=/healthz\nclient expect ok")
     p.wait(9.9)
     sweep, sent = p.front.clients._sweep, list[bool]()
@@ -131,7 +136,7 @@
         if not sent:
             p.parties["client"].send(SAYINGS["get"](path="/healthz"))
             sent.append(True)
-            p.clock.now += 0.2  # it has rested for long enough
+            p.clock.now += 0.2  # longer than the idle timeout
             p.service.loop.now = p.clock.now
         sweep()
 
@@ -139,8 +144,8 @@
     p.play("wait 0.1\nclient expect 200 OK")
 
 
-def test_a_first_request_that_comes_as_its_time_ends_is_read(p: Platform) -> None:
-    # A connection on which nothing had come for 2.2 s was closed over what came after the look.
+def test_a_first_request_that_arrives_at_its_timeout_is_read(p: Platform) -> None:
+    # A connection without bytes for 2.2 s was closed though a request arrived after the sockets were polled.
     client = p.parties["client"]
     client.begin(socket.create_connection(client.address))
     p.wait(2.1)
@@ -161,8 +166,8 @@
 
 
 def test_what_waits_to_be_accepted_when_the_listener_closes_is_answered(p: Platform) -> None:
-    # The kernel resets what nobody has accepted.
-    streaming(p)
+    # The kernel resets connections that have not been accepted when the listener closes.
+    start_stream(p)
     stop, came = p.front._acceptor.stop, list[object]()
 
     def come_then_stop() -> None:
@@ -171,20 +176,20 @@
         stop()
 
     p.front._acceptor.stop = come_then_stop  # type: ignore[method-assign]
-    leaving(p)
+    run_until_leaving(p)
     p.play("reader expect X-Txn: r2\nlate close\nsecond expect HTTP/1.1 503\nsecond expect closed")
 
 
 def test_a_process_stays_until_its_last_answer_is_taken(p: Platform) -> None:
-    # It ended as soon as the answer was handed to the kernel; bytes of the client's that nobody had read then
-    # reset the connection, and the answer was lost.
-    streaming(p)
-    leaving(p)
+    # The process exited as soon as the kernel had the answer. Unread bytes from the client then reset the
+    # connection, and the answer was lost.
+    start_stream(p)
+    run_until_leaving(p)
     client = p.parties["client"]
     client.poll = lambda: None  # type: ignore[method-assign]
     p.play("writer send event text=two\nwriter send last\nwait 0.2")
     assert client.sock is not None and not p.service.loop.stopped
-    client.sock.send(ask("r2"))  # crosses the router's end
+    client.sock.send(ask("r2"))  # sent while the router closes
     p.wait(0.2)
     del client.poll
     p.play('client expect data: "two"\nclient expect 0\nclient expect closed\nclient close\nwait 0.1')
@@ -192,7 +197,8 @@
 
 
 def test_a_connection_that_is_ended_while_it_is_not_read_is_read_to_its_end(p: Platform) -> None:
-    # After a request that made no sense it is not read for a while; closed like that, its answer was reset.
+    # After an invalid request a connection is not read for a while. When it was closed then, the unread bytes
+    # reset it, and its answer was lost.
     p.play("client send ask lane=unknown\nclient expect HTTP/1.1 400")
     connection = next(iter(p.front.clients.connections))
     assert connection.channel.paused
@@ -203,10 +209,10 @@
     p.play("client expect closed")
 
 
-def test_a_stream_that_its_worker_has_finished_is_passed_on_whole_at_the_last_moment() -> None:
-    # Its end had come in the moment in which the stream was cut.
-    p = Platform(FLEET, env=NO_RESUME)
-    streaming(p)
+def test_a_stream_that_its_worker_has_finished_is_forwarded_whole_at_the_end() -> None:
+    # The last chunk arrived just before the stream was broken off.
+    p = Platform(FLEET, env=NO_RESUME_ENV)
+    start_stream(p)
     cut, sent = p.front.router.end_all, list[object]()
 
     def end_then_cut() -> None:
@@ -215,7 +221,7 @@
         cut()
 
     p.front.router.end_all = end_then_cut  # type: ignore[method-assign]
-    leaving(p)
+    run_until_leaving(p)
     while not sent:
         p.play("writer send event text=on\nwait 0.1")
     p.play('client expect data: "two"\nclient expect 0\nclient expect closed')
@@ -227,10 +233,11 @@
 def test_the_last_moment_comes_before_the_kill_however_short_deadlines_are(
     patience: float, routers: int
 ) -> None:
-    # With a deadline of 1.2 s and two routers it came after 2 s, and the platform kills after 1.9 s.
+    # With a deadline of 1.2 s and two routers, streams were ended after 2 s, but the platform kills a process
+    # after 1.9 s.
     classes = [c | {"give-up-ms": 1000 * patience} for c in ENV["classes"]]
     p = Platform(FLEET, routers=routers, env={"classes": classes})
-    streaming(p)
+    start_stream(p)
     p.sigterm()
     kill = p.clock.now + min(3.0, patience) + 0.7
     while p.clock.now < kill and not p.service.loop.stopped:
@@ -245,9 +252,9 @@
 
 
 @pytest.mark.parametrize("trickle", ["part text=x", "part text=:|", "event"])
-def test_a_stream_that_goes_on_and_says_nothing_is_broken_off(p: Platform, trickle: str) -> None:
-    # Bytes alone passed for a sign of life: the client waited for as long as they came.
-    streaming(p)
+def test_a_stream_that_goes_on_and_says_nothing_new_is_broken_off(p: Platform, trickle: str) -> None:
+    # Any bytes counted as progress, so the client waited for as long as they arrived.
+    start_stream(p)
     for _ in range(30):
         if p.parties["writer"].ended:
             break
@@ -257,7 +264,7 @@
 
 
 def test_a_stream_whose_events_come_slowly_goes_on(p: Platform) -> None:
-    streaming(p)
+    start_stream(p)
     for n in range(4):
         p.play(f'wait 2\nwriter send event text=e{n}\nclient expect data: "e{n}"')
     p.play("writer send last\nclient expect 0")
@@ -267,25 +274,25 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "close"])
-def test_an_unsafe_request_whose_last_byte_was_never_written_goes_to_another_server(
+def test_an_unsafe_request_whose_last_byte_was_not_written_goes_elsewhere(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # What was still to be written was dropped before anybody asked whether anything was: the attempt passed
-    # for one that may have run, and the request failed.
+    # Unwritten bytes were dropped before they were looked at, so the attempt counted as one that may have
+    # run, and the request failed.
     ready = Channel._ready
 
-    def small(self: Channel, mask: int) -> None:
-        if self._connecting:  # else the kernel would take all of it on our side
+    def shrink_send_buffer(self: Channel, mask: int) -> None:
+        if self._connecting:  # else the router's kernel buffer would take all of it
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         ready(self, mask)
 
-    monkeypatch.setattr(Channel, "_ready", small)
+    monkeypatch.setattr(Channel, "_ready", shrink_send_buffer)
     p = Platform({"one": "mixed", "two": "mixed"})
     for name in ("one", "two"):
         listener = p.parties[name].listener
         assert listener is not None
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        p.parties[name].unread = True  # it takes no byte of what it is sent
+        p.parties[name].unread = True  # it reads nothing
     p.play("client send ask lane=service-log body=" + "x" * 260_000)
     p.until(lambda: any(p.parties[n].connections for n in ("one", "two")), "a connection")
     first, second = ("one", "two") if p.parties["one"].connections else ("two", "one")
@@ -308,18 +315,18 @@
     platform.end()
 
 
-def first_of(p: Platform) -> tuple[str, str]:
+def attempted_and_other(p: Platform) -> tuple[str, str]:
     p.until(lambda: any("stream" in p.parties[n].text for n in ("one", "two")), "an attempt")
     first = "one" if "stream" in p.parties["one"].text else "two"
     return first, "two" if first == "one" else "one"
 
 
-def come_up_late(monkeypatch: pytest.MonkeyPatch) -> list[Channel]:
-    """The next connection that a router opens does not come up any more; it is put into the list."""
+def delay_next_connection(monkeypatch: pytest.MonkeyPatch) -> list[Channel]:
+    """Keep the next connection that a router opens from coming up; returns a list that will contain it."""
     late: list[Channel] = []
     ready = Channel._ready
 
-    def slowly(self: Channel, mask: int) -> None:
+    def delay(self: Channel, mask: int) -> None:
         if self._connecting and not late:
             late.append(self)
         if self not in late:
@@ -327,17 +334,17 @@
         else:
             self.loop.watch(self._sock, 0, self._ready)
 
-    monkeypatch.setattr(Channel, "_ready", slowly)
+    monkeypatch.setattr(Channel, "_ready", delay)
     return late
 
 
-def test_nothing_is_written_to_a_server_told_to_drain_whose_connection_comes_up_late(
+def test_nothing_is_written_to_a_server_told_to_drain_over_a_late_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The grace was looked at when the attempt was decided; its connection may take 0.25 s more.
+    # The drain grace was checked when the attempt began, but its connection may take another 0.25 s.
     p = Platform(FLEET, env={"contract": ENV["contract"] | {"stop-sending-within-ms": 100.0}})
     p.play("discovery expect GET\ndiscovery send watch\nwait 0.1")
-    late = come_up_late(monkeypatch)
+    late = delay_next_connection(monkeypatch)
     p.play("client send ask")
     p.until(lambda: bool(late), "a connection that is coming up")
     p.play("discovery send list name=reader state=draining\nwait 0.13")
@@ -347,13 +354,13 @@
 
 
 @pytest.mark.parametrize("state", ["draining", "removed"])
-def test_an_attempt_that_is_not_on_its_way_when_its_server_is_told_to_drain_goes_elsewhere(
+def test_an_attempt_that_is_not_on_its_way_when_its_server_drains_goes_elsewhere(
     wide: Platform, monkeypatch: pytest.MonkeyPatch, state: str
 ) -> None:
-    # Its connection came up 0.25 s later, and its first byte went to a server whose grace was over by then.
+    # The connection came up 0.25 s later, and the request was sent to a server whose grace had ended.
     p = wide
     p.play("discovery expect GET\ndiscovery send watch\nwait 0.1")
-    late = come_up_late(monkeypatch)
+    late = delay_next_connection(monkeypatch)
     p.play("client send ask lane=service-log")
     p.until(lambda: bool(late), "a connection that is coming up")
     out = next(iter(p.front.workers._out.values()))
@@ -363,7 +370,7 @@
     p.parties["discovery"].send(p.listed(first, state))
     told = p.clock.now
     p.play(f'{second} expect {{"stream":true}}')
-    assert p.clock.now - told < 0.2  # not only when the connection is given up
+    assert p.clock.now - told < 0.2  # earlier than the connect timeout
     assert late[0].closed and "POST" not in p.parties[first].heard
     w = next(w for w in p.front.router._module.workers.values() if w.info.state is not ServerState.RUNNING)
     assert not w.pending and not w.reads
@@ -374,22 +381,22 @@
     keyed: Platform, after: float, again: bool
 ) -> None:
     keyed.play("client send ask")
-    first, second = first_of(keyed)
+    first, second = attempted_and_other(keyed)
     keyed.play(f"wait {after}\n{first} reset\nwait 0.3")
     assert ("POST" in keyed.parties[second].heard) is again
     if not again:
         keyed.play("client expect HTTP/1.1 503")
 
 
-def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_written(
+def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_sent(
     keyed: Platform, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The window was looked at when the repeat was decided; its connection may take 0.25 s more.
+    # The deduplication window was checked when the repeat began, but its connection may take another 0.25 s.
     keyed.play("client send ask")
-    first, second = first_of(keyed)
+    first, second = attempted_and_other(keyed)
     keyed.wait(0.85)
-    late = come_up_late(monkeypatch)
+    late = delay_next_connection(monkeypatch)
     keyed.play(f"{first} reset\nwait 0.2")
-    assert late and late[0].closed  # given up at the window's end, 0.25 s being allowed otherwise
+    assert late and late[0].closed  # at the window's end, before the usual 0.25 s
     assert "POST" not in keyed.parties[second].heard
     keyed.play("client expect HTTP/1.1 503")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front, played against stand-ins for clients, workers and discovery."""
+"""Tests of the platform front against fake clients, workers and discovery."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
 def ask(
     id: str = "r1", lane: str = "fault-lookup", left: str = "8000m", body: str = BODY, **more: str
 ) -> bytes:
+    """Encode a client's request; `more` are further header fields, with underscores for hyphens."""
     fields = {
         "Host": "app.svc", "X-Txn": id, "X-Lane": lane, "X-Org": "acme", "X-Entity": f"session-{id}",
         "X-Remaining": left, "X-Labels": "prompt_len=1200,max_out=100", "Content-Length": str(len(body)),
@@ -34,15 +35,18 @@
 
 
 def answer(status: str, body: str = "", turned: str = "", **more: str) -> bytes:
+    """Encode a worker's whole response; `turned` marks it as turned away, `more` are further headers."""
     fields = {"Content-Length": str(len(body))} | ({"X-Turned-Away": "1"} if turned else {}) | more
     head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
     return f"HTTP/1.1 {status} Any\r\n{head}\r\n{body}".encode()
 
 
 def chunk(data: str) -> bytes:
+    """Encode one chunk of a chunked body."""
     return f"{len(data):x}\r\n{data}\r\n".encode()
 
 
+# What the scenario line `PARTY send NAME KEY=VALUE...` sends, by name
 SAYINGS: dict[str, Callable[..., bytes]] = {
     "ask": ask,
     "get": lambda path: f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(),
@@ -60,6 +64,7 @@
     "watch": lambda: b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
     "empty": lambda: chunk("\n"),
 }
+# A request up to the moment when the writer has received it
 BEGIN = """
     client send ask {}
     reader expect POST /v1/chat/completions HTTP/1.1
@@ -70,13 +75,18 @@
 
 
 class Platform(Play):
+    """A router with a platform front, and its fake workers, clients and discovery."""
+
     def __init__(
         self, fleet: dict[str, str], routers: int = 1, heard: bool = True, env: dict[str, Any] | None = None
     ) -> None:
-        """`heard` = the router has waited for discovery's first word; `env` = settings that are other."""
+        """Start a front on loopback with a worker for each entry of `fleet`.
+
+        `heard` says that the router has waited for discovery's first list; `env` overrides settings.
+        """
         super().__init__(SAYINGS | {"list": self.listed})
         settings, names = parse_settings(ENV | {"instances": routers} | (env or {}))
-        self.fleet = dict(fleet)  # a test may add to it
+        self.fleet = dict(fleet)  # tests may add to it
         self.parties = {name: FakePeer() for name in fleet} | {"discovery": FakePeer(keeps=True)}
         self.config = config = Config(
             "test", ("127.0.0.1", 0), self.parties["discovery"].address, 7, settings, names,
@@ -92,6 +102,7 @@
         self.parties["client"] = FakePeer(("127.0.0.1", self.front.port))
 
     def entry(self, name: str, state: str = "up") -> dict[str, object]:
+        """Returns a worker's entry in discovery's list."""
         place = self.parties[name].place
         return {
             "instanceId": f"s-{name}", "hostPort": place, "zone": "hall-a", "cell": 1,
@@ -99,17 +110,19 @@
         }  # fmt: skip
 
     def listed(self, name: str, state: str = "up", generation: str = "2") -> bytes:
+        """Encode a change of one worker as a chunk of discovery's response."""
         entry = {"generation": int(generation), "reset": False, "instances": [self.entry(name, state)]}
         return chunk(json.dumps(entry) + "\n")
 
 
 def begin(words: str = "") -> str:
+    """Returns the scenario `BEGIN` for a request with these arguments of `ask`."""
     return BEGIN.format(words)
 
 
-def test_a_request_is_read_then_written_and_its_events_pass_as_they_come(p: Platform) -> None:
+def test_a_request_is_read_then_written_and_its_events_are_forwarded_at_once(p: Platform) -> None:
     p.play(begin())
-    # An event split over reads must come out whole, and each at once: not held until the stream's end.
+    # An event split over reads is forwarded whole, and each event at once, not at the end of the stream.
     p.play("""
         writer send stream
         writer send event text=one
@@ -122,15 +135,15 @@
         client expect 0
         wait 0.05
     """)
-    # The load report is for routers: a client must not see it, and the module must.
+    # Load reports are for the routing module and are not forwarded to clients.
     assert "Pressure" not in p.parties["client"].text
     loads = [w.load for w in p.front.router._module.workers.values()]
     assert 0.5 in [load.memory_share for load in loads if load is not None]
     assert not p.front.router.requests
 
 
-def test_fields_of_a_request_go_on_to_the_worker_but_those_of_one_connection(p: Platform) -> None:
-    # A worker knows repeats of a request by its Idempotency-Key; without it, each one ran anew.
+def test_end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not(p: Platform) -> None:
+    # Workers recognize a repeated request by its Idempotency-Key; without it, each repeat ran again.
     p.play("client send ask Idempotency_Key=k1 X_Own=any Connection=X-Hop X_Hop=no TE=trailers")
     p.play('reader expect {"stream":true}\nreader send read\nwriter expect {"stream":true}')
     for name in ("reader", "writer"):
@@ -142,12 +155,12 @@
         assert not {"connection", "x-hop", "te"} & fields.keys()
 
 
-def test_two_keys_of_one_request_make_no_sense(p: Platform) -> None:
+def test_a_request_with_two_idempotency_keys_is_rejected(p: Platform) -> None:
     p.play("client send ask Idempotency_Key=k1 idempotency_key=k2\nclient expect HTTP/1.1 400")
 
 
-def test_worker_connections_are_kept(p: Platform) -> None:
-    # The parser forgets keep-alive once it has returned: each exchange opened a connection of its own.
+def test_worker_connections_are_reused(p: Platform) -> None:
+    # The parser forgets keep-alive after its callback, so each exchange opened a new connection.
     end = "writer send stream\nwriter send event text=a\nwriter send last\nwait 0.05"
     p.play(begin("id=r1") + end).play(begin("id=r2") + end)
     assert [p.parties[name].connections for name in ("reader", "writer", "client")] == [1, 1, 1]
@@ -172,8 +185,8 @@
 
 
 @pytest.mark.parametrize("end", ["\n\n", "\r\n\r\n"])
-def test_events_are_cut_at_blank_lines_of_either_kind(end: str) -> None:
-    # With CRLF no blank line was seen, and a stream came out in one piece at its end.
+def test_events_are_split_at_blank_lines_with_lf_or_crlf(end: str) -> None:
+    # Blank lines with CRLF were not recognized, so a stream was forwarded in one piece at its end.
     splitter, stream, got = EventSplitter(), f"data: 1{end}data: 2{end}: rest", []
     for byte in stream.encode():
         got += splitter.feed(bytes([byte]))
@@ -183,7 +196,7 @@
 
 
 def test_a_connection_kept_while_its_client_is_slow_is_read_again(p: Platform) -> None:
-    # It stayed paused in the pool, so the next request on it ran into its time-out.
+    # The connection stayed paused in the pool, so the next request on it timed out.
     p.play(begin("id=r1") + "writer send stream\nwriter send event text=a\nclient expect a")
     for connection in p.front.clients.connections:
         p.front.router.client_slow(connection.request_id, True)
@@ -209,7 +222,7 @@
 
 
 def test_a_turned_away_request_goes_to_another_writer(wide: Platform) -> None:
-    # 503 is proof that it never ran only with X-Turned-Away; then even an unsafe one may go on.
+    # A 503 proves that a request never ran only with X-Turned-Away; then an unsafe one may be sent again.
     wide.play("client send ask lane=service-log")
     readers = [n for n in ("reader", "reader2")]
     wide.until(lambda: any("stream" in wide.parties[n].text for n in readers), "a read")
@@ -225,7 +238,7 @@
     p.play(begin("lane=service-log") + "writer send status status=503\nclient expect HTTP/1.1 502")
 
 
-def test_no_state_to_fetch_lets_go_of_it(p: Platform) -> None:
+def test_state_that_a_writer_cannot_fetch_is_released(p: Platform) -> None:
     p.play(begin() + "writer send status status=410 turned=1")
     p.play("writer expect DELETE /internal/reservations/r1 HTTP/1.1")
 
@@ -238,13 +251,13 @@
 def test_the_deadline_runs_from_the_clients_send_and_its_time_out_is_answered(p: Platform) -> None:
     p.play(begin("lane=service-log left=900m") + "wait 0.7")
     assert p.parties["client"].text == ""
-    # The state is let go after 0.8 s, for the writer may never have got the request.
+    # The state is released after 0.8 s, since the writer may never have received the request.
     p.play("wait 0.11\nreader expect DELETE\nreader send status status=204")
     p.play("wait 0.14\nclient expect HTTP/1.1 504\nwriter expect closed")
 
 
 def test_a_given_up_request_is_answered_at_once(p: Platform) -> None:
-    # Holding the answer back until the deadline would keep the client from coming again in time.
+    # If the answer were delayed until the deadline, the client could not retry in time.
     began = p.clock.now
     p.play(begin() + "writer send status status=500\nclient expect HTTP/1.1 503\nclient expect Retry-After")
     assert p.clock.now - began < 1.0
@@ -259,7 +272,7 @@
         writer expect DELETE /internal/reservations/r1
         writer send status status=204
     """)
-    p.until(lambda: not p.front.busy, "all let go")
+    p.until(lambda: not p.front.busy, "all state released")
 
 
 def test_a_client_that_leaves_during_the_stream_ends_the_attempt(p: Platform) -> None:
@@ -269,12 +282,12 @@
 
 
 def test_a_release_goes_to_the_next_worker_when_one_is_silent(p: Platform) -> None:
-    # What is held must be let go within a second, also where the worker asked first has fallen silent.
+    # Held state must be released within a second, even if the worker that is asked first does not answer.
     p.play("client send ask\nreader expect stream\nclient close\nwriter expect DELETE")
     p.play("wait 0.2\nreader expect DELETE")
 
 
-def test_a_slow_client_pauses_its_worker_and_at_last_counts_as_gone(p: Platform) -> None:
+def test_a_slow_client_pauses_its_worker_and_is_finally_disconnected(p: Platform) -> None:
     p.play(begin() + "writer send stream")
     event = SAYINGS["event"](text="x" * 60000)
     writer, client = p.parties["writer"], p.parties["client"]
@@ -335,8 +348,9 @@
     p.end()
 
 
-def test_one_of_two_routers_serves_on_for_a_while_after_sigterm() -> None:
-    # The second one of a rolling restart said no before the first one was back: nobody took new connections.
+def test_one_of_two_routers_keeps_serving_for_a_while_after_sigterm() -> None:
+    # In a rolling restart the second router failed its health checks before the first one was back, so no
+    # router accepted connections.
     p = Platform(FLEET, routers=2)
     p.play("client send get path=/healthz\nclient expect 200 OK")
     p.sigterm()
@@ -365,18 +379,18 @@
 
 
 def test_streams_are_moved_little_by_little(p: Platform) -> None:
-    # All at once they filled the queues where they came again, and were refused there.
+    # Streams that were all moved at once filled the queues of the next routers and were refused there.
     kept = []
     for n in range(6):
         p.play(f"c{n} send ask id=r{n}\nreader expect POST\nreader send read\nwriter expect X-Txn: r{n}")
         p.play(f"writer send stream\nwriter send event text=a\nc{n} expect a")
         assert p.parties["writer"].sock is not None
-        kept.append(p.parties["writer"].sock)  # the next one comes on a new connection
+        kept.append(p.parties["writer"].sock)  # the next request arrives on a new connection
         p.parties["writer"].sock = None
     p.sigterm()
     left = [6]
     for n in range(35):
-        if n % 10 == 9:  # the streams go on
+        if n % 10 == 9:  # the streams send events
             for sock in kept:
                 with contextlib.suppress(OSError):
                     sock.send(SAYINGS["event"](text="b"))
@@ -387,7 +401,7 @@
 
 
 def test_streams_that_outlast_the_grace_are_broken_off(p: Platform) -> None:
-    # The platform kills after 3.7 s at the earliest, and the streams were to be broken off after 12 s.
+    # The platform kills a process after 3.7 s at the earliest, but streams were broken off after 12 s.
     p.play(begin() + "writer send stream\nwriter send event text=a\nclient expect a")
     p.play("late send ask id=r2\nreader expect POST")
     p.sigterm()
@@ -396,29 +410,29 @@
     assert p.service.loop.stopped and "0\r\n\r\n" not in p.parties["client"].text
 
 
-def test_a_draining_worker_gets_nothing_new_and_the_watch_comes_again(p: Platform) -> None:
+def test_a_draining_worker_gets_no_requests_and_a_silent_watch_is_reopened(p: Platform) -> None:
     p.play("discovery expect GET /v1/servers?watch=1&after=1\ndiscovery send watch")
     p.play("discovery send list name=reader state=draining\nwait 0.1")
     p.play("client send ask\nclient expect HTTP/1.1 503")
-    # A silent watch is as good as a broken one: it must be opened again, from the last version heard.
+    # A silent watch is opened again from the last known generation, like a broken one.
     p.play("wait 5\ndiscovery expect GET /v1/servers?watch=1&after=2")
     p.play("discovery reset\nwait 0.3\ndiscovery expect after=2")
 
 
 @pytest.fixture
-def among_many() -> Iterator[Platform]:
+def one_of_200_routers() -> Iterator[Platform]:
     platform = Platform(FLEET, routers=200)
     yield platform
     platform.end()
 
 
-def test_a_silent_watch_is_open_again_in_time_however_many_routers_there_are(among_many: Platform) -> None:
-    # One of 200 waited for up to 18 s then: what discovery told meanwhile counted as told, and draining
-    # workers got requests.
-    p = among_many
+def test_a_silent_watch_is_reopened_in_time_with_many_routers(one_of_200_routers: Platform) -> None:
+    # One of 200 routers waited for up to 18 s. By then a change counts as known, so draining workers got
+    # requests.
+    p = one_of_200_routers
     p.play("discovery expect GET /v1/servers?watch=1&after=1\ndiscovery send watch")
     p.play("wait 4.8\ndiscovery expect GET /v1/servers?watch=1&after=1")
-    # It is not given up while it is waited for: whoever waits is answered first.
+    # The unanswered call is kept open, since discovery answers callers in the order of their calls.
     p.play("wait 3\ndiscovery send watch\ndiscovery send list name=reader state=draining\nwait 0.1")
     p.play("client send ask\nclient expect HTTP/1.1 503")
 
@@ -446,7 +460,7 @@
     p.play("client send ask id=r1\nclient expect HTTP/1.1 503")
     assert p.clock.now - began < 0.1
     assert any("turn failed" in line and "broken" in line for line in p.log.lines)
-    p.play("client send ask id=r2\nreader expect POST")  # a fresh module goes on
+    p.play("client send ask id=r2\nreader expect POST")  # a new module takes over
 
 
 def test_the_limit_on_sockets_holds(p: Platform) -> None:
@@ -458,8 +472,8 @@
 
 
 def test_who_loses_least_makes_room_for_new_ones(p: Platform) -> None:
-    # In a crowd that asks once and stays, or never asks, usual clients waited 6 s in the kernel's queue: idle
-    # connections were kept for 2 s however short room was, then for 1 s more until the client closed.
+    # When many clients left idle connections open, others waited 6 s in the kernel's queue: idle connections
+    # were kept for 2 s even without free sockets, and for 1 s more until the client closed.
     p.play(begin("id=r1") + "writer send stream\nwriter send event text=a\nclient expect a")
     p.play("once send get path=/healthz\nonce expect 200 OK\nmute send get path=/\nmute expect 404")
     p.parties["half"] = FakePeer(p.parties["client"].address)
@@ -473,16 +487,16 @@
     p.play("wait 0.2\nlate expect 200 OK\nwriter send last\nclient expect 0\r\n")
 
 
-def test_a_request_that_never_arrives_whole_is_given_up(p: Platform) -> None:
+def test_an_incomplete_request_is_answered_408(p: Platform) -> None:
     p.parties["client"].send(b"POST /v1/chat/completions HTTP/1.1\r\nX-Txn: a")
     p.play("wait 2.3\nclient expect HTTP/1.1 408\nclient expect closed")
 
 
 def test_a_malformed_entry_of_the_list_does_not_hide_the_others(p: Platform) -> None:
-    # One bad entry made the watch break and begin anew for ever, and no change came through any more.
+    # One malformed entry made the watch fail and restart for ever, so no further change arrived.
     bad: list[object] = [{"instanceId": "s-x"}, 7, p.entry("writer") | {"lifecycle": "odd"}]
     bad.append(p.entry("writer") | {"instanceId": "s-y", "hostPort": "nowhere"})
-    bad.append(p.entry("writer") | {"cell": 1e999})  # no whole number, and another exception
+    bad.append(p.entry("writer") | {"cell": 1e999})  # not a whole number; raises another exception
     message = {"generation": 3, "reset": False, "instances": [*bad, p.entry("reader", "draining")]}
     p.play("discovery expect GET\ndiscovery send watch")
     p.parties["discovery"].send(chunk(json.dumps(message) + "\n"))
@@ -491,7 +505,7 @@
 
 
 def test_a_kept_connection_that_its_worker_closed_is_not_used(p: Platform) -> None:
-    # A request written to it would end as a reset, and an unsafe one could not be sent again.
+    # A request on it would end in a reset, and an unsafe one could not be sent again.
     end = "writer send stream\nwriter send event text=a\nwriter send last\nwait 0.05\n"
     p.play(begin("id=r1 lane=service-log") + end + "writer close\nreader close")
     p.play(begin("id=r2 lane=service-log") + end)
@@ -512,8 +526,8 @@
     p.play('reader expect {"a": "b",  "stream":true}')
 
 
-def test_an_accept_that_fails_is_tried_again_later(p: Platform, monkeypatch: pytest.MonkeyPatch) -> None:
-    # The listener stays readable, so trying at once kept the loop busy with nothing else.
+def test_a_failed_accept_is_retried_later(p: Platform, monkeypatch: pytest.MonkeyPatch) -> None:
+    # The listener stays readable, so immediate retries kept the loop busy with nothing else.
     class Failing:
         tries = 0
 
@@ -533,28 +547,28 @@
     p.play("wait 0.2\nclient expect 200 OK")
 
 
-def test_a_new_discovery_is_watched_and_the_old_list_serves_meanwhile(p: Platform) -> None:
-    # The watch stayed with the old address, which goes silent soon after the file names another one.
+def test_a_new_discovery_address_is_watched_and_the_old_list_is_used_meanwhile(p: Platform) -> None:
+    # The watch kept the old address, which falls silent soon after the configuration names another one.
     p.play("discovery expect GET /v1/servers?watch=1&after=1\ndiscovery send watch\nwait 0.1")
     p.parties["other"] = FakePeer()
     p.config = replace(p.config, discovery=p.parties["other"].address)
     p.service.reload()
     assert any("reloaded: discovery is now at" in line for line in p.log.lines)
-    # The other agent may number its lists otherwise, so it is asked for all of its list.
+    # The other discovery may count generations differently, so it is asked for its whole list.
     p.play("discovery expect closed\nother expect GET /v1/servers?watch=1&after=0")
     p.play("client send ask\nreader expect POST\nclient close")
     p.play("other send watch\nother send list name=reader state=draining\nwait 0.1")
     p.play("late send ask id=r2\nlate expect HTTP/1.1 503")
 
 
-def test_a_discovery_that_takes_connections_and_says_nothing_is_tried_again_soon(p: Platform) -> None:
-    # A list counts as told 4 s after the change, and waiting 4 s for the first word was too long.
+def test_a_discovery_that_accepts_but_does_not_answer_is_called_again_soon(p: Platform) -> None:
+    # A list counts as known 4 s after the change, so waiting 4 s for the first message was too long.
     p.play("discovery expect GET\nwait 1.5\ndiscovery expect GET\nwait 0.1")
     assert p.parties["discovery"].connections == 2
 
 
-def test_one_of_many_routers_asks_an_overbooked_discovery_again_only_after_its_share_of_the_wait() -> None:
-    # 28 restarted routers that asked once a second each kept discovery so busy that none was ever answered.
+def test_many_routers_call_an_overloaded_discovery_less_often() -> None:
+    # 28 restarted routers that each called once a second kept discovery so busy that no call was answered.
     one, many = Platform(FLEET), Platform(FLEET, routers=40)
     try:
         for platform, tries in ((one, 4), (many, 1)):
@@ -567,7 +581,9 @@
         many.end()
 
 
-def test_a_bad_file_changes_nothing(p: Platform, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_invalid_configuration_changes_nothing_at_reload(
+    p: Platform, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def bad() -> Config:
         raise ConfigError("config.json: not JSON")
 
@@ -580,22 +596,24 @@
 
 
 TRAILERS = "0\r\nX-Sum: 5f3a \r\nX-Lane: no\r\n\r\n"
-ODD = {
+UNUSUAL_REQUESTS = {
     "space": f"Content-Length: 15 \r\n\r\n{BODY}",
     "trailers": f"Transfer-Encoding:   chunked \r\n\r\n0{len(BODY):x}\r\n{BODY}\r\n{TRAILERS}",
     "expects": f"expect:100-continue \r\nTransfer-Encoding: Chunked\r\n\r\nf\r\n{BODY}\r\n0\r\n\r\n",
 }
 
 
-@pytest.mark.parametrize("rest", ODD)
+@pytest.mark.parametrize("rest", UNUSUAL_REQUESTS)
 @pytest.mark.parametrize("size", [1, 7, 100_000])
-def test_odd_but_good_requests_are_taken_wherever_they_are_cut(p: Platform, rest: str, size: int) -> None:
-    # One in eight requests of a day got a 400 for white space behind a field, or for fields behind a body.
+def test_unusual_but_valid_requests_are_accepted_however_they_are_split(
+    p: Platform, rest: str, size: int
+) -> None:
+    # One in eight requests of a day was answered 400 for white space after a field value or for trailers.
     raw = (
         "POST /v1/chat/completions HTTP/1.1\r\nHOST:   app.svc \r\nx-txn:  r1 \r\nX-LANE: service-log\t\r\n"
         "X-Org:acme  \r\nx-entity: s \r\nX-REMAINING: 8000m \r\nx-labels: prompt_len=381, max_out=80 \r\n"
     )
-    raw += ODD[rest]
+    raw += UNUSUAL_REQUESTS[rest]
     for at in range(0, len(raw), size):
         p.parties["client"].send(raw[at : at + size].encode())
         p.turn()
@@ -612,7 +630,7 @@
     """)
 
 
-def test_a_worker_may_leave_white_space_behind_a_field(p: Platform) -> None:
+def test_white_space_after_a_workers_header_value_is_ignored(p: Platform) -> None:
     p.play("client send ask")
     p.play("reader expect POST")
     p.parties["reader"].send(b"HTTP/1.1 503 Any\r\nX-Turned-Away: 1 \r\nContent-Length: 0 \r\n\r\n")
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -1,4 +1,4 @@
-"""Descriptors kept back for discovery and workers, in a real process under its real limit."""
+"""Tests that file descriptors are reserved for discovery and workers, in a process with a low limit."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 ROOT = Path(__file__).parent.parent
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-PATIENCE = 20.0  # s of real time after which something counts as missed
-TOLD = 6.0  # s
+STEP_TIMEOUT_S = 20.0  # of real time, for each step of the test
+LIST_KNOWN_AFTER_S = 6.0  # within which the router must call a discovery that is up restarted
 
 
 def accept(listener: socket.socket, within: float, wanted: bytes) -> socket.socket:
-    """The next connection on which this is asked."""
+    """Accept connections until one sends a request that contains `wanted`; returns it."""
     listener.settimeout(within)
     while True:
         sock = listener.accept()[0]
-        sock.settimeout(PATIENCE)
+        sock.settimeout(STEP_TIMEOUT_S)
         data = b""
         while wanted not in data and (more := sock.recv(65536)):
             data += more
@@ -35,22 +35,22 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
-def test_idle_clients_fill_the_descriptors_and_discovery_and_workers_are_reached(
+def test_discovery_and_workers_are_reached_while_idle_clients_use_up_descriptors(
     tmp_path: Path, sockets: int
 ) -> None:
     discovery, worker = (socket.create_server(("127.0.0.1", 0)) for _ in range(2))
-    place, at = (listener.getsockname() for listener in (discovery, worker))
+    discovery_at, worker_at = (listener.getsockname() for listener in (discovery, worker))
     entry = {
-        "instanceId": "s-1", "hostPort": f"{at[0]}:{at[1]}", "zone": "hall-a", "cell": 1, "weight": 1.0,
-        "machineType": "mixed", "lifecycle": "up", "startedAtMs": 0,
+        "instanceId": "s-1", "hostPort": f"{worker_at[0]}:{worker_at[1]}", "zone": "hall-a", "cell": 1,
+        "weight": 1.0, "machineType": "mixed", "lifecycle": "up", "startedAtMs": 0,
     }  # fmt: skip
     path = tmp_path / "config.json"
     listen = socket.create_server(("127.0.0.1", 0))
     clients = listen.getsockname()
     listen.close()
     path.write_text(json.dumps({
-        "name": "n1", "listen": f"127.0.0.1:{clients[1]}", "discovery": f"127.0.0.1:{place[1]}", "seed": "1",
-        "settings": ENV, "limits": {"sockets": sockets, "memory_mb": 32},
+        "name": "n1", "listen": f"127.0.0.1:{clients[1]}", "discovery": f"127.0.0.1:{discovery_at[1]}",
+        "seed": "1", "settings": ENV, "limits": {"sockets": sockets, "memory_mb": 32},
         "known": {"generation": 1, "reset": True, "instances": [entry]},
     }))  # fmt: skip
     log = (tmp_path / "log").open("w+")
@@ -60,25 +60,25 @@
     )  # fmt: skip
     opened: list[socket.socket] = []
     try:
-        watch = accept(discovery, PATIENCE, b"\r\n\r\n")
+        watch = accept(discovery, STEP_TIMEOUT_S, b"\r\n\r\n")
         opened.append(watch)
         watch.sendall(HEAD + chunk("\n"))
         discovery.close()
         watch.close()  # discovery is down
-        for _ in range(2 * sockets):  # as many idle clients as come, and a crowd behind them
+        for _ in range(2 * sockets):  # idle clients: as many as the router accepts, and more that wait
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(clients)
             opened.append(sock)
-        client = socket.create_connection(clients, timeout=PATIENCE)
+        client = socket.create_connection(clients, timeout=STEP_TIMEOUT_S)
         opened.append(client)
         client.sendall(ask())
-        opened.append(accept(worker, PATIENCE, b"POST /v1/chat/completions"))
-        again = socket.socket()
-        again.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        again.bind(place)
-        again.listen()
-        opened += [again, accept(again, TOLD, b"GET /v1/servers?watch=1")]
+        opened.append(accept(worker, STEP_TIMEOUT_S, b"POST /v1/chat/completions"))
+        restarted = socket.socket()
+        restarted.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        restarted.bind(discovery_at)
+        restarted.listen()
+        opened += [restarted, accept(restarted, LIST_KNOWN_AFTER_S, b"GET /v1/servers?watch=1")]
         files = list(Path(f"/proc/{process.pid}/fd").iterdir())
         assert len(files) <= sockets and process.poll() is None
     finally:
@@ -86,9 +86,9 @@
             sock.close()
         worker.close()
         process.send_signal(signal.SIGTERM)
-        process.wait(timeout=PATIENCE)
+        process.wait(timeout=STEP_TIMEOUT_S)
     log.seek(0)
-    said = log.read()
+    log_text = log.read()
     log.close()
-    assert "too many sockets" in said  # the room was used up
-    assert "Errno 24" not in said and "no connection to a worker" not in said
+    assert "too many sockets" in log_text  # the limit was reached
+    assert "Errno 24" not in log_text and "no connection to a worker" not in log_text
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,6 +1,7 @@
-"""The watch on the list of workers: each way in which a call can end, and what crosses what.
+"""Tests of the discovery watch: each way in which a call can end, and messages of overlapping calls.
 
-What discovery has counts as told 6 s later, whatever became of the call that should have brought it."""
+A change counts as known 6 s after discovery has it, whatever became of the call that should have brought it.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +17,7 @@
 from yewhook.backoff import Backoff
 from yewhook.platform.front import FIRST_LIST_TIMEOUT_S
 
-TOLD = 6.0  # s after which a change counts as told
+LIST_KNOWN_AFTER_S = 6.0  # after which a change counts as known
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -27,19 +28,23 @@
     platform.end()
 
 
-def watched(p: Platform) -> None:
-    """Let the first call be answered."""
+def answer_first_call(p: Platform) -> None:
+    """Answer the first call."""
     p.play("discovery expect GET /v1/servers?watch=1&after=1\ndiscovery send watch\ndiscovery send empty")
     p.wait(0.1)
     assert p.front.watch.answered
 
 
 def drain(p: Platform, generation: str = "2") -> bytes:
+    """Encode a list in which the reader drains."""
     return p.listed("reader", "draining", generation)
 
 
-def calls(p: Platform, seconds: float, answer: Callable[[int], bool]) -> float | None:
-    """Go on; each further call of discovery is shown to `answer`, by its number. When one was answered."""
+def answer_calls(p: Platform, seconds: float, answer: Callable[[int], bool]) -> float | None:
+    """Run for some seconds and pass the number of each further call of discovery to `answer`.
+
+    Returns the seconds until `answer` says that it has answered one, or None.
+    """
     party, began = p.parties["discovery"], p.clock.now
     seen = party.connections
     while p.clock.now - began < seconds:
@@ -60,14 +65,14 @@
 
 
 def silent(p: Platform) -> None:
-    """Nothing comes any more on a connection that stays open."""
+    """Nothing more arrives on a connection that stays open."""
 
 
 def garbled(p: Platform) -> None:
     p.parties["discovery"].send(chunk('{"generation": 2, "instances": [}\n'))
 
 
-def no_object(p: Platform) -> None:
+def not_an_object(p: Platform) -> None:
     p.parties["discovery"].send(chunk("[]\n"))
 
 
@@ -79,12 +84,12 @@
     p.parties["discovery"].send(b"0\r\n\r\n")
 
 
-def half(p: Platform) -> None:
-    """A message breaks off after its first line, and words that nothing changed follow."""
+def incomplete(p: Platform) -> None:
+    """A message stops after its first line, and an empty line follows."""
     p.parties["discovery"].send(chunk('{"generation": 2,\n') + chunk("\n"))
 
 
-ENDINGS = [reset, closed, silent, garbled, no_object, bad_chunk, ended, half]
+ENDINGS = [reset, closed, silent, garbled, not_an_object, bad_chunk, ended, incomplete]
 
 
 @pytest.mark.parametrize("ending", ENDINGS)
@@ -92,9 +97,9 @@
 def test_however_a_call_and_the_next_one_end_a_drain_is_known_in_time(
     tier: Platform, ending: Callable[[Platform], None], second: str
 ) -> None:
-    # One of 200 routers waited for up to 27 s after a reset, and sent to workers that were told to leave.
+    # One of 200 routers waited for up to 27 s after a reset, and sent requests to draining workers meanwhile.
     p = tier
-    watched(p)
+    answer_first_call(p)
     ending(p)
     party = p.parties["discovery"]
     failed = 0
@@ -112,19 +117,20 @@
         return True
 
     p.parties["client"].text = ""
-    assert calls(p, TOLD - 0.1, answer) is not None
+    assert answer_calls(p, LIST_KNOWN_AFTER_S - 0.1, answer) is not None
     p.play("wait 0.1\nclient send ask\nclient expect HTTP/1.1 503")
     assert "POST" not in p.parties["reader"].heard
 
 
-def test_a_call_that_says_nothing_is_waited_for_beside_the_next_one() -> None:
-    # Who hangs up and asks again waits again; who waits for one call alone hears nothing if it is lost.
+def test_a_call_that_says_nothing_stays_open_beside_the_next_one() -> None:
+    # A call that is closed and opened again goes to the end of discovery's queue, but one that is lost is
+    # never answered, so a second call is opened beside the first.
     p = Platform(FLEET, routers=200)
-    watched(p)
+    answer_first_call(p)
     party = p.parties["discovery"]
-    assert calls(p, 4.0, lambda number: True) is not None
+    assert answer_calls(p, 4.0, lambda number: True) is not None
     first = party.sock
-    assert calls(p, 4.0, lambda number: True) is not None
+    assert answer_calls(p, 4.0, lambda number: True) is not None
     assert first is not None and party.earlier[-1] is first
     first.sendall(HEAD + drain(p))
     p.play("wait 0.1\nclient send ask\nclient expect HTTP/1.1 503")
@@ -132,8 +138,8 @@
     p.end()
 
 
-def test_a_watch_that_speaks_is_not_asked_for_again(p: Platform) -> None:
-    watched(p)
+def test_a_watch_that_speaks_is_not_opened_again(p: Platform) -> None:
+    answer_first_call(p)
     for _ in range(5):
         p.play("wait 2\ndiscovery send empty\nwait 0.01")
     assert p.parties["discovery"].connections == 1
@@ -141,8 +147,8 @@
 
 @pytest.mark.parametrize("indent", [None, 1, 4, "\t"])
 @pytest.mark.parametrize("cut", [1, 50, 100_000])
-def test_lists_may_be_indented_and_arrive_cut_anywhere(p: Platform, indent: int | None, cut: int) -> None:
-    watched(p)
+def test_lists_may_be_indented_and_split_anywhere(p: Platform, indent: int | None, cut: int) -> None:
+    answer_first_call(p)
     entries = [p.entry("reader", "draining"), p.entry("writer", "up") | {"weight": 2.5}]
     message = {"generation": 7, "reset": True, "instances": entries}
     text = chunk(json.dumps(message, indent=indent) + "\n") + chunk("\n")
@@ -153,9 +159,9 @@
     assert p.front.watch.generation == 7 and p.parties["discovery"].connections == 1
 
 
-def test_at_sighup_the_old_watch_tells_until_the_new_one_has_answered(p: Platform) -> None:
-    # It was let go before: what the old address told until the new one had answered was never heard.
-    watched(p)
+def test_at_sighup_the_old_watch_tells_of_changes_until_the_new_one_has_answered(p: Platform) -> None:
+    # The old call was closed at once, so changes at the old address were missed until the new one answered.
+    answer_first_call(p)
     p.parties["other"] = FakePeer()
     p.config = replace(p.config, discovery=p.parties["other"].address)
     p.service.reload()
@@ -168,8 +174,8 @@
     p.play("discovery expect closed\nlate send ask id=r2\nreader expect POST")
 
 
-def test_at_sighup_a_new_address_that_refuses_is_asked_again_and_the_old_one_is_kept(p: Platform) -> None:
-    watched(p)
+def test_at_sighup_a_new_address_that_refuses_is_retried_and_the_old_one_is_kept(p: Platform) -> None:
+    answer_first_call(p)
     p.parties["other"] = FakePeer()
     p.config = replace(p.config, discovery=p.parties["other"].address)
     p.service.reload()
@@ -180,23 +186,23 @@
     p.play("discovery expect closed\nclient send ask\nclient expect HTTP/1.1 503")
 
 
-def test_an_answer_that_crossed_a_later_word_of_the_call_before_does_not_undo_it(p: Platform) -> None:
-    watched(p)
+def test_an_answer_that_crossed_a_later_list_does_not_undo_it(p: Platform) -> None:
+    answer_first_call(p)
     party = p.parties["discovery"]
     old = party.sock
-    assert old is not None and calls(p, 4.0, lambda number: True) is not None
-    old.sendall(drain(p, generation="3"))  # it was only late
+    assert old is not None and answer_calls(p, 4.0, lambda number: True) is not None
+    old.sendall(drain(p, generation="3"))  # a late answer to the first call
     p.wait(0.1)
-    party.send(HEAD + p.listed("reader", "up", "2"))  # said before
+    party.send(HEAD + p.listed("reader", "up", "2"))  # sent before that one
     p.play("wait 0.1\nclient send ask\nclient expect HTTP/1.1 503")
     assert p.front.watch.generation == 3
-    # A list that begins to number anew, in which the worker is up, is another matter: nothing is held back.
+    # A later list in which the worker is up again is applied.
     party.send(p.listed("reader", "up", "4"))
     p.play("wait 0.1\nlate send ask id=r2\nreader expect POST")
 
 
-def test_a_process_that_starts_is_ready_with_discoverys_word_and_not_with_an_old_list() -> None:
-    # What discovery has counts as told from a process's first moment; the list it was started with is older.
+def test_a_process_that_starts_waits_for_discoverys_list() -> None:
+    # Discovery's list counts as known from a process's first moment, and that of its configuration is older.
     p = Platform(FLEET, heard=False)
     assert not p.front.clients.mode.healthy
     p.play("discovery expect GET\ndiscovery send watch")
@@ -206,16 +212,16 @@
     p.end()
 
 
-def test_a_process_that_discovery_does_not_answer_is_ready_soon() -> None:
+def test_a_process_is_ready_soon_without_an_answer_from_discovery() -> None:
     p = Platform(FLEET, heard=False)
     p.play(f"wait {FIRST_LIST_TIMEOUT_S + 0.05}\nclient send get path=/healthz\nclient expect 200")
     p.end()
 
 
 @pytest.mark.parametrize("routers", [1, 4, 40, 200, 10_000])
-def test_no_wait_lets_a_list_be_late(routers: int) -> None:
+def test_retry_delays_keep_lists_in_time(routers: int) -> None:
     for seed in range(50):
         backoff = Backoff(routers, Random(seed))
         waits = [backoff.next_delay() for _ in range(12)]
-        assert max(waits) < TOLD - 1.0
-        assert waits[0] + waits[1] < TOLD - 0.5  # so one failure more is in time, too
+        assert max(waits) < LIST_KNOWN_AFTER_S - 1.0
+        assert waits[0] + waits[1] < LIST_KNOWN_AFTER_S - 0.5  # so that a second failure is still in time
