--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""A connection whose system calls fail: errors that are its end are told from those that are not."""
+"""Tests of a channel whose system calls fail: which errors end the connection and which do not."""
 
 from __future__ import annotations
 
@@ -9,15 +9,17 @@
 
 import pytest
 
-from yewhook.channel import READ_ERRORS, Channel
+from yewhook.channel import MAX_READ_ERRORS, Channel
 from yewhook.log import Log
 from yewhook.loop import Loop
 
-MOST = 5.0  # s for something to happen
-ENDLESS = 10_000  # errors; more than are met within it
+TIMEOUT_S = 5.0
+ENDLESS = 10_000  # errors; more than occur within the timeout
 
 
 class Owner:
+    """Records what a channel reports."""
+
     def __init__(self) -> None:
         self.data, self.ends = b"", list[OSError | None]()
 
@@ -36,7 +38,7 @@
     """A socket whose next calls fail."""
 
     failures: list[int]
-    sending: list[int]  # failures of sending alone
+    sending: list[int]  # failures of `send` only
 
     def recv(self, size: int, flags: int = 0) -> bytes:
         self._fail()
@@ -54,6 +56,8 @@
 
 
 class Pair:
+    """An accepted connection with injected failures, and its peer's end."""
+
     def __init__(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             self.peer = socket.create_connection(listener.getsockname())
@@ -64,7 +68,7 @@
         self.channel = Channel(self.loop, self.sock, self.owner)
 
     def until(self, true: Callable[[], bool]) -> None:
-        end = time.monotonic() + MOST
+        end = time.monotonic() + TIMEOUT_S
         while not true():
             assert time.monotonic() < end
             self.loop.run_turn(0.01)
@@ -82,8 +86,8 @@
 
 
 @pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS])
-def test_an_error_of_sending_that_is_no_end_is_got_over(pair: Pair, error: int) -> None:
-    # The answer stayed unsent on a good connection, and its client waited for ever.
+def test_a_send_error_that_does_not_end_the_connection_is_retried(pair: Pair, error: int) -> None:
+    # The answer was never sent on a connection that was still good, and the client waited for ever.
     pair.sock.failures = [error]
     pair.channel.send(b"answer")
     pair.until(lambda: pair.channel.written)
@@ -91,16 +95,16 @@
 
 
 @pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH])
-def test_an_error_of_reading_that_is_no_end_is_got_over(pair: Pair, error: int) -> None:
+def test_a_read_error_that_does_not_end_the_connection_is_ignored(pair: Pair, error: int) -> None:
     pair.peer.sendall(b"request")
     pair.sock.failures = [error]
     pair.until(lambda: pair.owner.data == b"request")
     assert not pair.owner.ends
 
 
-@pytest.mark.parametrize("errors", [2, READ_ERRORS - 1])
-def test_errors_of_reading_in_a_row_are_got_over(pair: Pair, errors: int) -> None:
-    # A second error in a row was taken for the end: the request's connection was closed with no answer.
+@pytest.mark.parametrize("errors", [2, MAX_READ_ERRORS - 1])
+def test_consecutive_read_errors_are_ignored(pair: Pair, errors: int) -> None:
+    # A second consecutive error was taken for the end, so the connection was closed without an answer.
     pair.peer.sendall(b"request")
     pair.sock.failures = [errno.ECONNRESET] * errors
     pair.until(lambda: pair.owner.data == b"request")
@@ -109,8 +113,8 @@
     assert not pair.owner.ends and not pair.channel.closed
 
 
-@pytest.mark.parametrize("errors", [1, READ_ERRORS - 1])
-def test_a_peer_is_not_taken_for_gone_over_errors(pair: Pair, errors: int) -> None:
+@pytest.mark.parametrize("errors", [1, MAX_READ_ERRORS - 1])
+def test_read_errors_do_not_make_the_peer_count_as_gone(pair: Pair, errors: int) -> None:
     pair.sock.failures = [errno.ETIMEDOUT] * errors
     assert not pair.channel.ended
     pair.sock.failures = [errno.ETIMEDOUT] * errors
@@ -119,17 +123,17 @@
     pair.until(lambda: pair.channel.ended)
 
 
-def test_a_reset_is_told_with_its_cause(pair: Pair) -> None:
+def test_a_reset_is_reported_with_its_cause(pair: Pair) -> None:
     pair.channel.send(b"unread")
     pair.until(lambda: pair.channel.written)
     time.sleep(0.01)
-    pair.peer.close()  # over unread bytes: a reset
+    pair.peer.close()  # with unread bytes, which resets the connection
     pair.until(lambda: bool(pair.owner.ends))
     (error,) = pair.owner.ends
     assert error is not None and error.errno == errno.ECONNRESET
 
 
-def test_a_connection_on_which_nothing_can_be_sent_is_lost(pair: Pair) -> None:
+def test_a_connection_is_lost_when_sending_keeps_failing(pair: Pair) -> None:
     pair.sock.sending = [errno.ETIMEDOUT] * ENDLESS
     pair.channel.send(b"answer")
     pair.until(lambda: bool(pair.owner.ends))
@@ -137,7 +141,7 @@
 
 
 @pytest.mark.parametrize("errors", [3, 10])
-def test_errors_of_sending_in_a_row_are_got_over(pair: Pair, errors: int) -> None:
+def test_consecutive_send_errors_are_retried(pair: Pair, errors: int) -> None:
     pair.sock.sending = [errno.ENOBUFS] * errors
     pair.channel.send(b"an ")
     pair.channel.send(b"answer")
@@ -145,7 +149,7 @@
     assert pair.peer.recv(100) == b"an answer" and not pair.owner.ends
 
 
-def test_what_comes_is_heard_while_sending_fails(pair: Pair) -> None:
+def test_received_bytes_are_read_while_sending_fails(pair: Pair) -> None:
     pair.sock.sending = [errno.EHOSTUNREACH] * ENDLESS
     pair.channel.send(b"answer")
     pair.peer.sendall(b"request")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -297,7 +297,7 @@
     p.until(lambda: any(p.parties[n].connections for n in ("one", "two")), "a connection")
     first, second = ("one", "two") if p.parties["one"].connections else ("two", "one")
     p.wait(0.05)
-    out = next(iter(p.front.workers._out.values())).connection
+    out = next(iter(p.front.workers._pending.values())).connection
     assert out is not None and out.channel.unsent
     p.parties[second].unread = False
     p.play(f"{first} {how}\n{second} expect x-lane: service-log")
@@ -363,7 +363,7 @@
     late = delay_next_connection(monkeypatch)
     p.play("client send ask lane=service-log")
     p.until(lambda: bool(late), "a connection that is coming up")
-    out = next(iter(p.front.workers._out.values()))
+    out = next(iter(p.front.workers._pending.values()))
     assert out.connection is not None
     first = next(n for n in ("reader", "reader2") if p.parties[n].address == out.connection.address)
     second = "reader2" if first == "reader" else "reader"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -200,7 +200,7 @@
     p.play(begin("id=r1") + "writer send stream\nwriter send event text=a\nclient expect a")
     for connection in p.front.clients.connections:
         p.front.router.client_slow(connection.request_id, True)
-    writer = next(iter(p.front.workers._out.values())).connection
+    writer = next(iter(p.front.workers._pending.values())).connection
     assert writer is not None
     writer.received(b"0\r\n\r\n")
     p.play("wait 0.1\n" + begin("id=r2") + "writer send stream\nwriter send event text=b")
--- a/yewhook/arrival_time.py
+++ b/yewhook/arrival_time.py
@@ -1,7 +1,7 @@
-"""Since when bytes that are read on a connection may have waited to be read.
+"""Bounds the time at which bytes read from a connection can have arrived.
 
-A client's time runs from when its request reached this machine, not from when the loop came to read it: a
-loop that was held up, by a long list of servers or by others on its core, reads late.
+A client's time runs from the arrival of its request at this machine and not from when the event loop reads
+it: a loop that was blocked, by a long list of servers or by other processes on its core, reads late.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 
 
 class ArrivalTime:
-    """Of one connection. All times are the loop's, in s."""
+    """Tracks one connection. All times are those of the loop's clock in seconds."""
 
     def __init__(self, loop: Loop, opened_after: float) -> None:
-        """`opened_after` = a time before which the other side cannot have opened the connection."""
+        """`opened_after` is a time before which the peer cannot have opened the connection."""
         self._loop = loop
-        self._since, self._watched_at = opened_after, loop.now
+        self._not_before, self._watched_since = opened_after, loop.now
 
     @property
     def earliest(self) -> float:
-        """What is read now has not come before this."""
-        looked_at = self._loop.previous_poll_at
-        return looked_at if self._watched_at < looked_at else self._since
+        """The earliest time at which bytes that are read now can have arrived."""
+        polled_at = self._loop.previous_poll_at
+        return polled_at if self._watched_since < polled_at else self._not_before
 
     def reading_paused(self) -> None:
-        """The connection is not read for a while."""
-        self._since = self._loop.now
+        """The connection is not read until `reading_resumed` is called."""
+        self._not_before = self._loop.now
 
     def reading_resumed(self) -> None:
-        """It is read again."""
-        self._watched_at = self._loop.now
+        """The connection is read again."""
+        self._watched_since = self._loop.now
--- a/yewhook/channel.py
+++ b/yewhook/channel.py
@@ -1,4 +1,4 @@
-"""One non-blocking TCP connection on the loop: what both fronts stand on."""
+"""A non-blocking stream connection on the event loop, mostly TCP; both fronts use it."""
 
 from __future__ import annotations
 
@@ -9,56 +9,63 @@
 
 from .loop import Loop, Timer
 
-READ_SIZE = 65536
-READ_OFF = 16  # reads a turn of what a peer still sends after our last word, which nobody needs
-# Reads a turn of an accepted connection: as many as the largest request takes, and one that finds its end.
-# Whoever has asked and gone is known to be gone before anything is done for the request.
-READ_ACCEPTED = 8
-# Errors of reading in a row after which a connection counts as lost. The kernel tells the cause of an end
-# once, and after that the end itself; an error that is no end leaves the connection good.
-READ_ERRORS = 8
-SEND_AGAIN = 0.02  # s after an error of sending until the next try
-SEND_GIVEN_UP = 1.0  # s for which sending may fail; the end of a connection is found by reading, and sooner
-FLUSH, LINGER = 10.0, 1.0  # s to write what is left, and then for the peer to close too
+READ_SIZE_BYTES = 65536
+MAX_DISCARDING_READS = 16  # reads per turn of what a peer still sends on a connection that is being finished
+# Reads per turn of an accepted connection: enough for the largest request and one more that finds the end of
+# the stream, so that a client that disconnects after its request is noticed before the request is handled.
+MAX_ACCEPTED_READS = 8
+# Consecutive read errors after which a connection counts as lost. When a connection has ended, the kernel
+# reports the cause once and then the end of the stream; after any other error the connection is still good.
+MAX_READ_ERRORS = 8
+SEND_RETRY_S = 0.02  # from a send error until the next attempt
+SEND_GIVE_UP_S = 1.0  # for which sending may fail; a connection's end is found by reading, and sooner
+FLUSH_TIMEOUT_S = 10.0  # to write what is left of a connection that is being finished
+LINGER_TIMEOUT_S = 1.0  # after that, for the peer to close its end
 
 
 class Owner(Protocol):
-    def connected(self) -> None: ...
+    """What a channel calls as its connection changes."""
 
-    def received(self, data: bytes) -> None: ...
+    def connected(self) -> None:
+        """The connection is up."""
+
+    def received(self, data: bytes) -> None:
+        """Bytes have arrived."""
 
     def drained(self) -> None:
         """Everything handed to `send` has been written."""
 
     def lost(self, error: OSError | None) -> None:
-        """The connection is gone: an error, or None where the peer ended it in good order."""
+        """The connection is gone: an error, or None where the peer has closed it."""
 
 
 class Channel:
+    """One connection with its send buffer; reading can be paused, and closing can wait for pending bytes."""
+
     def __init__(
         self, loop: Loop, sock: socket.socket, owner: Owner, connecting: bool = False, first: bool = False
     ) -> None:
-        """`first` = heard before the other connections in each turn of the loop."""
+        """Watch a socket; with `first`, it is handled before the other connections in each turn."""
         self.loop, self.owner, self._first = loop, owner, first
         self.closed = False
         self._sock, self._connecting = sock, connecting
-        self._out = bytearray()
-        self._cut_short = False  # closed before all was written
+        self._unsent = bytearray()
+        self._closed_with_unsent = False
         self.paused = self._finishing = False
         self._accepted = not connecting
-        self._send_fails_since: float | None = None  # the loop's clock, where the last try failed
-        self._send_again = Timer(loop)  # runs from a failed try to the next one
-        self._timer = Timer(loop)  # for the end of a connection that is being finished
+        self._send_fails_since: float | None = None  # the loop's clock, where the last attempt failed
+        self._send_retry_timer = Timer(loop)
+        self._finish_timer = Timer(loop)
         loop.sockets += 1
         loop.accepted += self._accepted
         sock.setblocking(False)
-        if sock.family == socket.AF_INET:  # a pair of sockets to the agent is no TCP
+        if sock.family == socket.AF_INET:  # the connection to the agent is a socket pair and not TCP
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._watch()
 
     @classmethod
     def connect(cls, loop: Loop, address: tuple[str, int], owner: Owner) -> Channel:
-        """Begin to connect; the owner hears `connected`, or `lost` in a later turn. Raises OSError."""
+        """Begin to connect; the owner's `connected` or `lost` is called in a later turn. Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         code = sock.connect_ex(address)
@@ -69,16 +76,17 @@
 
     @property
     def unsent(self) -> int:
-        return len(self._out)
+        """The number of bytes that the kernel has not taken yet."""
+        return len(self._unsent)
 
     @property
     def written(self) -> bool:
-        """Whether all that was to be sent has been handed to the kernel, also where it was closed since."""
-        return not self._out and not self._cut_short
+        """Whether all bytes have been handed to the kernel; it stays true or false after a close."""
+        return not self._unsent and not self._closed_with_unsent
 
     @property
     def unread(self) -> bool:
-        """Whether bytes, or the peer's end, wait to be read; an idle connection is no good then."""
+        """Whether bytes, or the end of the stream, wait to be read; an idle connection is unusable then."""
         try:
             self._read(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -87,7 +95,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it can be seen now that the peer has closed or broken it, with nothing left to read."""
+        """Whether the peer has closed or reset the connection and no bytes are left to read."""
         if self.closed:
             return True
         try:
@@ -97,38 +105,40 @@
         return not data
 
     def send(self, data: bytes) -> None:
+        """Send bytes, or buffer them; ignored once the channel is closed or being finished."""
         if self.closed or self._finishing:
             return
-        self._out += data
+        self._unsent += data
         if not self._connecting:
             self._flush()
 
     def pause(self, paused: bool) -> None:
+        """Stop or resume reading."""
         if self.paused != paused:
             self.paused = paused
             self._watch()
 
     def finish(self) -> None:
-        """Close once all is written and the peer has closed too, or after a while."""
+        """Close once all is written and the peer has closed too, or after the timeouts."""
         if self.closed or self._finishing:
             return
         self._finishing, self.paused = True, False
         self.loop.finishing += 1
-        self._timer.set(FLUSH, self.abort)
-        self._watch()  # what the peer still sends is read: closing over it would take our last word along
-        if not self._out:
+        self._finish_timer.set(FLUSH_TIMEOUT_S, self.abort)
+        self._watch()  # to read what the peer still sends: closing with unread bytes resets the connection
+        if not self._unsent:
             self._end_sending()
 
     def abort(self) -> None:
-        """Close now; the owner hears nothing more."""
+        """Close at once; the owner is not called any more."""
         if not self.closed:
             self.closed = True
-            self._timer.cancel()
-            self._send_again.cancel()
+            self._finish_timer.cancel()
+            self._send_retry_timer.cancel()
             self.loop.watch(self._sock, 0, self._ready)
             self._sock.close()
-            self._cut_short = bool(self._out)
-            self._out.clear()
+            self._closed_with_unsent = bool(self._unsent)
+            self._unsent.clear()
             self.loop.sockets -= 1
             self.loop.accepted -= self._accepted
             self.loop.finishing -= self._finishing
@@ -137,7 +147,7 @@
         if self.closed:
             return
         read = 0 if self.paused or self._connecting else selectors.EVENT_READ
-        waits = self._connecting or (self._out and not self._send_again.running)
+        waits = self._connecting or (self._unsent and not self._send_retry_timer.running)
         write = selectors.EVENT_WRITE if waits else 0
         self.loop.watch(self._sock, read | write, self._ready, self._first)
 
@@ -152,22 +162,22 @@
                 self._watch()
             return None
         if mask & selectors.EVENT_READ:
-            reads = READ_OFF if self._finishing else READ_ACCEPTED if self._accepted else 1
+            reads = MAX_DISCARDING_READS if self._finishing else MAX_ACCEPTED_READS if self._accepted else 1
             while reads and not self.paused and self._receive():
                 reads -= 1
-        if mask & selectors.EVENT_WRITE and not self.closed and self._out:
+        if mask & selectors.EVENT_WRITE and not self.closed and self._unsent:
             self._flush()
         return None
 
     def catch_up(self) -> None:
-        """Hear what has come so far, though its turn is not yet."""
+        """Read what has arrived so far, without waiting for the next turn."""
         if not (self.closed or self.paused or self._connecting or self._finishing):
             self._receive()
 
     def _receive(self) -> bool:
-        """Read once; whether there may be more."""
+        """Read once; returns whether there may be more to read."""
         try:
-            data, error = self._read(READ_SIZE)
+            data, error = self._read(READ_SIZE_BYTES)
         except BlockingIOError:
             return False
         if not data:
@@ -176,12 +186,13 @@
         return self._received(data)
 
     def _read(self, size: int, flags: int = 0) -> tuple[bytes, OSError | None]:
-        """What can be read now, past errors that are no end; nothing at the connection's end, with its cause.
+        """Read, ignoring errors after which the connection is still good.
 
-        Raises BlockingIOError where nothing has come.
+        Returns no bytes at the end of the stream, with its cause if there was an error. Raises
+        BlockingIOError where nothing has arrived.
         """
         cause: OSError | None = None
-        for _ in range(READ_ERRORS):
+        for _ in range(MAX_READ_ERRORS):
             try:
                 return self._sock.recv(size, flags), cause
             except BlockingIOError:
@@ -193,37 +204,37 @@
     def _received(self, data: bytes) -> bool:
         if not self._finishing:
             self.owner.received(data)
-        return not self.closed and (self._accepted or len(data) == READ_SIZE)
+        return not self.closed and (self._accepted or len(data) == READ_SIZE_BYTES)
 
     def _flush(self) -> None:
-        if not self._out or self._send_again.running:
+        if not self._unsent or self._send_retry_timer.running:
             return
         try:
-            sent = self._sock.send(self._out)
+            sent = self._sock.send(self._unsent)
         except BlockingIOError:
             sent = 0
         except OSError as error:
-            return self._not_sent(error)
+            return self._send_failed(error)
         self._send_fails_since = None
-        del self._out[:sent]
+        del self._unsent[:sent]
         self._watch()
-        if self._out:
+        if self._unsent:
             return None
         if self._finishing:
             return self._end_sending()
         return self.owner.drained()
 
-    def _not_sent(self, error: OSError) -> None:
-        """Try again in a moment, for a while. What the peer sent before a break still counts and is read."""
+    def _send_failed(self, error: OSError) -> None:
+        """Retry for a while; meanwhile what the peer sent before a failure is still read."""
         now = self.loop.now
         self._send_fails_since = now if self._send_fails_since is None else self._send_fails_since
-        if now - self._send_fails_since >= SEND_GIVEN_UP:
+        if now - self._send_fails_since >= SEND_GIVE_UP_S:
             return self._lost(error)
-        self._send_again.set(SEND_AGAIN, self._flush)
+        self._send_retry_timer.set(SEND_RETRY_S, self._flush)
         return self._watch()
 
     def _end_sending(self) -> None:
-        self._timer.set(LINGER, self.abort)
+        self._finish_timer.set(LINGER_TIMEOUT_S, self.abort)
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
--- a/yewhook/connection_limiter.py
+++ b/yewhook/connection_limiter.py
@@ -1,8 +1,10 @@
-"""Who gives way when clients' connections fill their room: those on which least is lost. No clock, no I/O.
+"""Chooses which client connections to close when they reach their limit: those whose clients lose least.
 
-In a crowd each connection that stays is one that a usual client waits for in the kernel's queue. A connection
-that has had its answer loses nothing; one that has said nothing, or has stopped in the middle of a request,
-loses the more the less time it has had.
+When many clients connect, each connection that is kept makes another client wait in the kernel's accept
+queue. A connection that has been answered loses nothing by being closed. One on which nothing has been
+received, or a request has been received in part, loses more the less time it has had.
+
+The module has no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -13,25 +15,35 @@
 
 
 class ConnectionActivity(Enum):
-    """Where a connection stands, and the s of that before it may give way. In the order of giving way."""
+    """What a connection is doing; the value is the time in seconds after which it may be closed.
+
+    The members are in the order in which connections are closed.
+    """
 
-    ANSWERED = 0.05  # and nothing asked since; the answer has had the time to arrive
-    NOTHING_RECEIVED = 0.3  # opened, and not a byte yet: a client that means to ask does so at once
-    READING_REQUEST = 0.7  # in the middle of a request: one written over 2 s pauses for less
+    ANSWERED = 0.05  # no request since the last answer, which has had the time to arrive
+    NOTHING_RECEIVED = 0.3  # since it was opened; a client with a request sends it at once
+    READING_REQUEST = 0.7  # longer than the pauses of a request that is written over 2 s
     SERVING = float("inf")
 
 
 class ConnectionStatus(NamedTuple):
+    """What a connection is doing and since when."""
+
     activity: ConnectionActivity
-    since: float  # of the last byte, or the last answer's end
+    since: float  # the time of the last byte, or of the last answer's end
+
 
+ConnectionT = TypeVar("ConnectionT")
+_CLOSE_ORDER = {activity: index for index, activity in enumerate(ConnectionActivity)}
 
-K = TypeVar("K")
-_ORDER = {stand: place for place, stand in enumerate(ConnectionActivity)}
 
+def connections_to_close(
+    statuses: Iterable[tuple[ConnectionStatus, ConnectionT]], now: float, max_count: int
+) -> list[ConnectionT]:
+    """Returns up to `max_count` connections that may be closed, those first that lose least.
 
-def connections_to_close(standings: Iterable[tuple[ConnectionStatus, K]], now: float, most: int) -> list[K]:
-    """At most so many that may give way, who loses least first; among equals who has stood longest."""
-    ripe = [(s, k) for s, k in standings if now - s.since >= s.activity.value]
-    ripe.sort(key=lambda entry: (_ORDER[entry[0].activity], entry[0].since))
-    return [k for _, k in ripe[:most]]
+    Among connections with the same activity, those come first that have had it for longest.
+    """
+    closable = [(s, connection) for s, connection in statuses if now - s.since >= s.activity.value]
+    closable.sort(key=lambda entry: (_CLOSE_ORDER[entry[0].activity], entry[0].since))
+    return [connection for _, connection in closable[:max_count]]
--- a/yewhook/front.py
+++ b/yewhook/front.py
@@ -1,4 +1,4 @@
-"""What both fronts have in common: a router of the core, its clients, and how they end in good order."""
+"""What both router fronts share: their router, their client connections and an orderly shutdown."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Generic, Protocol, TypeVar
 
-from hopshed import interface as i
+from hopshed import interface
 
 from .config import Address, Names
 from .core.ending import Ending
@@ -28,197 +28,229 @@
     from .levels.level_state import Change
     from .recovery.recovery import Recovery
 
-GRACE_MOST = 3.0  # s; the platform grants the longest patience of a class, and no more than this
-# s after the order to end in which a router still takes what comes, where streams can go on elsewhere: the
-# fewer others there are, the likelier that just now none of them serves. What is left of the grace is enough
-# for an answer to begin and for its stream to be moved.
-LAST_TAKEN = 1.5  # and never over half of the grace
+MAX_GRACE_S = 3.0  # the platform grants a process the longest patience of a class, but no more than this
+# Time after SIGTERM in which a router still accepts requests, where streams can be resumed elsewhere. It is
+# divided by the number of other routers: the fewer there are, the likelier that none of them is serving. The
+# rest of the grace is enough for a response to begin and for its stream to be moved.
+MAX_ACCEPT_AFTER_TERM_S = 1.5  # and at most half of the grace
 MAX_CLOSED_AT_ONCE = 32  # idle connections closed at a time when sockets run out
-IDLE_LEAST = 2.0  # s that a connection is left open on which nothing is asked, however short room is
-RANKING_KEPT = 5e-5  # s for each worker, for which a ranking of them is kept: some 40 times what it costs
-CLOSING_EVERY, CLOSING_IDLE = 0.1, 0.1  # s between looks while idle connections are closed; s of idleness
+MIN_IDLE_S = 2.0  # for which an idle connection is kept even when sockets run out
+RANKING_TTL_PER_WORKER_S = 5e-5  # for which a ranking of the workers is reused; about 40 times its cost
+CLOSING_SWEEP_INTERVAL_S = 0.1  # between two sweeps while all idle connections are being closed
+CLOSING_IDLE_S = 0.1  # after which a connection counts as idle then
 
 
 class ClientConnection(Protocol):
+    """A client's connection, as far as closing idle connections needs to know it."""
+
     @property
-    def idle_since(self) -> float: ...
+    def idle_since(self) -> float:
+        """When it became idle, by the loop's clock in seconds."""
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is asked on it, and nothing is on its way."""
+        """Whether no request is being received or served on it."""
 
     @property
     def unread(self) -> bool:
-        """Whether something has come on it that has not been read."""
+        """Whether the kernel holds received bytes that have not been read."""
 
-    def close_gracefully(self) -> None: ...
+    def close_gracefully(self) -> None:
+        """Write pending bytes, then close."""
 
 
-K = TypeVar("K", bound=ClientConnection)
+ConnectionT = TypeVar("ConnectionT", bound=ClientConnection)
 
 
-class ClientConnections(Generic[K]):
-    """The clients' connections of a front, and how those are closed on which nothing is asked."""
+class ClientConnections(Generic[ConnectionT]):
+    """A front's client connections; closes those that are idle."""
 
-    def __init__(self, loop: Loop, idle_most: float) -> None:
-        self.loop, self._idle_most = loop, idle_most
-        self.connections: set[K] = set()
+    def __init__(self, loop: Loop, idle_timeout_s: float) -> None:
+        self.loop, self._idle_timeout_s = loop, idle_timeout_s
+        self.connections: set[ConnectionT] = set()
         self.mode = FrontMode(healthy=True, accepting=True, keep_alive=True, close_idle=False)
-        self.ending = False  # nothing that comes now could be finished any more: it is refused
-        # Since when a connection that is accepted now may have waited to be.
+        self.ending = False  # requests that arrive now could not be finished any more and are refused
+        # The earliest time at which a connection that is accepted now may have been opened
         self.waiting_since: Callable[[], float] = lambda: loop.previous_poll_at
-        self._sweeping = Timer(loop)
+        self._sweep_timer = Timer(loop)
         self._sweep()
 
     def accepted(self, sock: socket.socket) -> None:
+        """Serve a connection that has been accepted."""
         raise NotImplementedError
 
     def free_connections(self) -> None:
-        """Close connections that are needed least: here, those that have been idle for longest."""
-        idle = sorted(self._idle(IDLE_LEAST), key=lambda connection: connection.idle_since)
+        """Close connections when sockets run out; by default those that have been idle for longest."""
+        idle = sorted(self._idle(MIN_IDLE_S), key=lambda connection: connection.idle_since)
         for connection in idle[:MAX_CLOSED_AT_ONCE]:
             connection.close_gracefully()
 
     def set_mode(self, mode: FrontMode) -> None:
+        """Put a mode in force."""
         self.mode = mode
         self._sweep()
 
-    def _idle(self, least: float) -> list[K]:
-        """Those on which nothing has been asked for so long; a request that has just come is read first."""
-        resting = [c for c in self.connections if c.idle and self.loop.now - c.idle_since >= least]
-        return [c for c in resting if not c.unread]
+    def _idle(self, min_idle_s: float) -> list[ConnectionT]:
+        """Returns the connections that have been idle for so long, except those with unread bytes."""
+        idle = [c for c in self.connections if c.idle and self.loop.now - c.idle_since >= min_idle_s]
+        return [c for c in idle if not c.unread]
 
     def end(self) -> None:
-        """Refuse what still comes: the process is about to go."""
+        """Refuse requests from now on, since the process is about to exit."""
         self.ending = True
         for connection in self._idle(0.0):
             connection.close_gracefully()
 
     def _sweep(self) -> None:
-        """While they are closed, one that has just been opened has a moment for its request to come."""
+        """Close idle connections; while all are closed, a new one still has a moment to send its request."""
         closing = self.mode.close_idle
-        for connection in self._idle(CLOSING_IDLE if closing else self._idle_most):
+        for connection in self._idle(CLOSING_IDLE_S if closing else self._idle_timeout_s):
             connection.close_gracefully()
-        self._sweeping.set(CLOSING_EVERY if closing else 1.0, self._sweep)
+        self._sweep_timer.set(CLOSING_SWEEP_INTERVAL_S if closing else 1.0, self._sweep)
 
 
 class PendingAttempt(Protocol):
-    """One attempt that is out at a worker."""
+    """One attempt that has been sent, or is being sent, to a worker."""
 
     request_id: str
     number: int
 
     def give_up(self) -> bool:
-        """Abandon it; whether its last byte had been written."""
+        """Abandon it; returns whether its last byte had been written."""
 
-    def pause(self, paused: bool) -> None: ...
+    def pause(self, paused: bool) -> None:
+        """Stop or resume reading the response."""
 
     def catch_up(self) -> None:
-        """Hear what has come of it so far."""
+        """Read what has arrived so far."""
 
     @property
     def on_its_way(self) -> bool:
-        """Whether a byte of it may be on its way."""
+        """Whether a byte of it may have been sent."""
 
 
-O = TypeVar("O", bound=PendingAttempt)  # noqa: E741
-ReleaseFunction = Callable[
-    [str, float, float, Callable[[], None]], None
-]  # of a request, from a time on, by another
+AttemptT = TypeVar("AttemptT", bound=PendingAttempt)
+# Releases what is held for a request: from a time on, by a due time, then calls the function
+ReleaseFunction = Callable[[str, float, float, Callable[[], None]], None]
 
 
-class PendingAttempts(Generic[O]):
-    """The attempts that are out, and what the core asks of them on any front."""
+class PendingAttempts(Generic[AttemptT]):
+    """The attempts in progress; implements the part of the core's `Workers` that all fronts share."""
 
     listener: AttemptListener
 
     def __init__(self, loop: Loop, worker_list: WorkerList, release: ReleaseFunction) -> None:
         self.loop, self._worker_list = loop, worker_list
         self._release = release
-        self._out: dict[tuple[str, int], O] = {}
+        self._pending: dict[tuple[str, int], AttemptT] = {}
 
-    def begin(self, out: O, server: int, begin: Callable[[Address], None]) -> None:
-        """Begin an attempt at a server's address; where there is no connection, that is its end."""
-        self._out[out.request_id, out.number] = out
+    def begin(self, attempt: AttemptT, server: int, begin: Callable[[Address], None]) -> None:
+        """Begin an attempt at a server's address; without a connection it ends with `NO_SOCKET`."""
+        self._pending[attempt.request_id, attempt.number] = attempt
         try:
             begin(self._worker_list.addresses[server])
         except (OSError, KeyError) as error:
             self.loop.log("no connection to a worker", f"{server}: {error}")
-            self.end(out, Ending.NO_SOCKET)
+            self.end(attempt, Ending.NO_SOCKET)
 
-    def end(self, out: O, ending: Ending, note: int = 0, load: i.Load | None = None) -> None:
-        if self._out.pop((out.request_id, out.number), None) is not None:
-            self.listener.attempt_ended(out.request_id, out.number, ending, note, load)
+    def end(
+        self, attempt: AttemptT, ending: Ending, note: int = 0, load: interface.Load | None = None
+    ) -> None:
+        """Report an attempt's end to the core, unless it has been abandoned."""
+        if self._pending.pop((attempt.request_id, attempt.number), None) is not None:
+            self.listener.attempt_ended(attempt.request_id, attempt.number, ending, note, load)
 
     def abort(self, request_id: str, attempt: int) -> bool:
-        out = self._out.pop((request_id, attempt), None)
-        return out is not None and out.give_up()
+        """Abandon an attempt; returns whether its last byte had been written."""
+        pending = self._pending.pop((request_id, attempt), None)
+        return pending is not None and pending.give_up()
 
     def catch_up(self, request_id: str, attempt: int) -> None:
-        if (out := self._out.get((request_id, attempt))) is not None:
-            out.catch_up()
+        """Read what has arrived of an attempt's response."""
+        if (pending := self._pending.get((request_id, attempt))) is not None:
+            pending.catch_up()
 
     def withdraw(self, request_id: str, attempt: int) -> bool:
-        out = self._out.get((request_id, attempt))
-        if out is None or out.on_its_way:
+        """Abandon an attempt of which nothing can have been sent; returns whether that was so."""
+        pending = self._pending.get((request_id, attempt))
+        if pending is None or pending.on_its_way:
             return False
         self.abort(request_id, attempt)
         return True
 
     def release(self, request_id: str, begin_at: float, due: float, done: Callable[[], None]) -> None:
+        """Release what is held for a request, from `begin_at` on and by `due` (the loop's clock)."""
         self._release(request_id, begin_at, due, done)
 
     def forget(self, server: int) -> None:
+        """Forget a server that has been gone for long."""
         self._worker_list.forget(server)
 
     def pause(self, request_id: str, attempt: int, paused: bool) -> None:
-        if (out := self._out.get((request_id, attempt))) is not None:
-            out.pause(paused)
+        """Stop or resume reading an attempt's response."""
+        if (pending := self._pending.get((request_id, attempt))) is not None:
+            pending.pause(paused)
+
 
+class ReportingWorkers(Workers, Protocol):
+    """Workers that report their attempts to a listener."""
 
-class ListenedWorkers(Workers, Protocol):
     listener: AttemptListener
 
 
 class RouterFront:
-    front_name = ""  # clients, in a word
+    """Base of the fronts: connects a core router with clients and workers, and controls their lifecycle."""
+
+    front_name = ""  # of the kind of front, in one word
 
     def __init__(
-        self, loop: Loop, settings: i.Settings, names: Names, ask: ReleaseSender, liveness: Liveness
+        self,
+        loop: Loop,
+        settings: interface.Settings,
+        names: Names,
+        send_release: ReleaseSender,
+        liveness: Liveness,
     ) -> None:
         self.loop, self._settings, self._liveness = loop, settings, liveness
-        self.grace = min(GRACE_MOST, max(c.patience for c in settings.classes))
+        self.grace = min(MAX_GRACE_S, max(c.patience for c in settings.classes))
         others = max(1, settings.instances - 1)
-        self.accept_after_term = min(LAST_TAKEN, self.grace / 2) / others if settings.may_resume else 0.0
+        self.accept_after_term = (
+            min(MAX_ACCEPT_AFTER_TERM_S, self.grace / 2) / others if settings.may_resume else 0.0
+        )
         self.worker_list = WorkerList(names, time.monotonic() - time.time(), loop.log)
-        self.releases = Releases(loop, ask, self._ranked_workers)
-        self._ranking, self._ranked_until = Ranking(()), loop.now
+        self.releases = Releases(loop, send_release, self._ranked_workers)
+        self._ranking, self._ranking_valid_until = Ranking(()), loop.now
         self._governor: Governor | None = None
-        self.recovery: Recovery | None = None  # where operators want one, and levels judge
+        self.recovery: Recovery | None = None  # set where recovery is configured
 
     def _ranked_workers(self) -> Ranking:
-        """Whom a release may ask. A large fleet's ranking is kept for a moment: many releases ask at once."""
-        if self.loop.now >= self._ranked_until:
+        """Returns the workers that a release may call.
+
+        A large fleet's ranking is reused for a short time, since many releases begin at once.
+        """
+        if self.loop.now >= self._ranking_valid_until:
             self._ranking = Ranking(self._release_candidates())
-            self._ranked_until = self.loop.now + RANKING_KEPT * len(self._ranking.candidates)
+            self._ranking_valid_until = self.loop.now + RANKING_TTL_PER_WORKER_S * len(
+                self._ranking.candidates
+            )
         return self._ranking
 
     def _release_candidates(self) -> list[Candidate]:
-        """The workers that run, those told to drain among them: any of them takes a release."""
+        """Returns the running and draining workers; any of them accepts a release."""
         addresses, servers, liveness = self.worker_list.addresses, self.router.servers, self._liveness
         candidates = []
         for number, state in self.worker_list.states.items():
             address, server = addresses.get(number), servers.get(number)
-            if address is None or state is i.ServerState.GONE:
+            if address is None or state is interface.ServerState.GONE:
                 continue
             group = (server.kind, server.zone) if server is not None else None
-            draining = state is i.ServerState.DRAINING
+            draining = state is interface.ServerState.DRAINING
             heard, missed = liveness.heard(address), liveness.missed(address)
             candidates.append(Candidate(address, group, heard, missed, draining))
         return candidates
 
-    def create_router(self, workers: ListenedWorkers, seed: int) -> None:
-        """Give the front its router."""
+    def create_router(self, workers: ReportingWorkers, seed: int) -> None:
+        """Create the front's router and run it on the loop."""
         self._seed = seed
         self.router = Router(
             self._settings, seed, self.loop.deadlines, lambda: self.loop.now, workers, self.loop.log
@@ -230,39 +262,45 @@
         self,
         clients: ClientConnections[Any],
         address: Address,
-        room: ResourceBudget,
-        whose: str,
+        budget: ResourceBudget,
+        label: str,
         listener: socket.socket | None = None,
     ) -> None:
-        """Begin to take clients, on the socket that listens already where there is one."""
+        """Accept clients, on `listener` if it is given, else on a new socket. Raises OSError.
+
+        `label` names the kind of clients in the log.
+        """
         self._clients = clients
         listener = listener or listen(address)
         self.port: int = listener.getsockname()[1]
         self._acceptor = Acceptor(
-            self.loop, listener, room.can_open_client, clients.free_connections, clients.accepted
+            self.loop, listener, budget.can_open_client, clients.free_connections, clients.accepted
         )
         clients.waiting_since = lambda: self._acceptor.waiting_since
-        self.loop.log("serving", f"{whose} clients on {address[0]}:{self.port}")
+        self.loop.log("serving", f"{label} clients on {address[0]}:{self.port}")
 
     @property
     def has_workers(self) -> bool:
+        """Whether a running worker is known."""
         return bool(self.worker_list.running_addresses())
 
     @property
     def busy(self) -> bool:
+        """Whether a request, a release or a client connection is open."""
         return self.router.busy or self.releases.busy or bool(self._clients.connections)
 
     def reload(self) -> Callable[[], str]:
+        """Read the configuration again; returns a function that puts it in force and describes the change."""
         raise NotImplementedError
 
     @property
     def discovery_age(self) -> float:
-        """s since the last word of whoever lists the workers."""
+        """Seconds since the source of the worker list last sent anything."""
         raise NotImplementedError
 
     @property
     def levels(self) -> Governor | None:
-        """Who judges the level of service; nobody where levels are off, or where the router gave it up."""
+        """What judges the level of service; None where levels are off or the router has dropped it."""
         return self._governor if self._governor is self.router.governor else None
 
     def set_levels(
@@ -271,36 +309,42 @@
         vitals: Callable[[], ProcessHealth],
         changed: Callable[[Change], None],
     ) -> None:
-        """Put settings of the levels of service in force, at the start or while it runs."""
+        """Put settings of the levels of service in force, at the start or later.
+
+        `vitals` returns the state of the process, and `changed` is called with each change of level.
+        """
         levels = self.levels
         if settings.mode is Mode.OFF:
             if levels is not None:
                 self.router.set_governor(None)
         elif levels is None:
-            from .levels.governor import Governor  # where they are off, nothing is paid for them
+            from .levels.governor import Governor  # imported only where levels are on, for its cost
 
-            def seen() -> ProcessHealth:
+            def process_health() -> ProcessHealth:
                 return vitals()._replace(discovery_age=self.discovery_age)
 
             self._governor = Governor(
-                self._settings, settings, self._seed, self.loop.now, seen, changed, self.recovery
+                self._settings, settings, self._seed, self.loop.now, process_health, changed, self.recovery
             )
             self.router.set_governor(self._governor)
         else:
             levels.configure(settings, self.loop.now)
 
     def set_mode(self, mode: FrontMode) -> None:
+        """Put a mode in force for the listener and the client connections."""
         if mode.shutting_down:
             self._acceptor.stop()
         self._acceptor.pause(not mode.accepting)
         self._clients.set_mode(mode)
 
     def move_streams(self, part: float) -> None:
+        """Move this part of the running streams elsewhere, if clients can resume them there."""
         self.router.move_streams(part)
 
     def end_all(self) -> None:
+        """Refuse new requests and end the open ones."""
         self._clients.end()
         self.router.end_all()
 
     def close(self) -> None:
-        """Nothing else is left open."""
+        """Close what the front has open besides its clients and workers; here, nothing."""
--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -1,4 +1,4 @@
-"""The one loop: gather what is ready, sweep what is due, let each router decide once, carry it out."""
+"""The event loop: each turn polls the files, runs due timers and lets each router decide once."""
 
 from __future__ import annotations
 
@@ -13,39 +13,49 @@
 from .transient_errors import retry_transient
 
 EventHandler = Callable[[int], None]
-LONG_TURN = 0.1  # s; a turn that takes longer is logged: nothing else is heard meanwhile
+LONG_TURN_S = 0.1  # a longer turn is logged, since nothing else is handled meanwhile
 
 
-class HasFile(Protocol):
-    def fileno(self) -> int: ...
+class HasFileDescriptor(Protocol):
+    """A socket or another object that a selector can poll."""
 
+    def fileno(self) -> int:
+        """Returns its file descriptor."""
 
-class Turn(Protocol):
-    """Something that decides once a turn, on all that the turn has gathered."""
+
+class Decider(Protocol):
+    """Something that decides once per turn, on everything that the turn has brought."""
 
     def turn(self, now: float) -> bool:
-        """Decide and carry out; whether this left something to decide on at once."""
+        """Decide and act; returns whether another decision is due at once."""
 
 
 class Loop:
-    """`now` is the time of all that happens in a turn; what is heard in it has come after `looked_at`."""
+    """An event loop on one thread.
+
+    `now` is the time of everything that is handled in a turn, in seconds of the loop's clock. What a turn
+    reads has arrived after `previous_poll_at`.
+    """
 
     def __init__(self, log: Log, clock: Callable[[], float] = time.monotonic) -> None:
         self.log, self._clock = log, clock
         self.deadlines = Deadlines()
-        self.pollers: list[Callable[[], None]] = []  # what is looked at in each turn and wakes nobody
-        self.deciders: list[Turn] = []
+        self.pollers: list[Callable[[], None]] = []  # called in each turn; they cause none
+        self.deciders: list[Decider] = []
         self.stopped = False
-        # Times of this turn's look at the files, and of the one before it
+        # When the files were polled in this turn and in the one before it
         self.now = self.previous_poll_at = clock()
-        self.sockets = 0  # open ones that this process holds, as their owners count them
-        self.accepted = 0  # those of them that others have opened
-        self.finishing = 0  # those of them whose last bytes are still on their way
+        self.sockets = 0  # open sockets of this process, as counted by their owners
+        self.accepted = 0  # those of them that were accepted
+        self.finishing = 0  # those of them that are being finished, see `Channel.finish`
         self._selector = retry_transient(selectors.DefaultSelector)
-        self._first: set[int] = set()  # files that are heard before all others
+        self._first: set[int] = set()  # file descriptors that are handled before all others
+
+    def watch(self, sock: HasFileDescriptor, events: int, handler: EventHandler, first: bool = False) -> None:
+        """Call `handler` on these events of a file, or stop watching it where `events` is 0.
 
-    def watch(self, sock: HasFile, events: int, handler: EventHandler, first: bool = False) -> None:
-        """Watch a socket or a pipe's end for these events (0 = none); `first` = before others in a turn."""
+        With `first`, the file is handled before others in each turn.
+        """
         known = sock.fileno() in self._selector.get_map()
         if first and events:
             self._first.add(sock.fileno())
@@ -59,43 +69,50 @@
             self._selector.unregister(sock)
 
     def after(self, seconds: float, call: Callable[[], None]) -> None:
+        """Call a function after some seconds."""
         self.deadlines.set(self.now + seconds, call)
 
     def run(self) -> None:
+        """Run turns until `stopped` is set."""
         again = False
         while not self.stopped:
             again = self.run_turn(0.0 if again else None)
         self._selector.close()
 
     def run_turn(self, longest: float | None = None) -> bool:
-        """One turn, waiting for it no longer than this; whether there is something to decide on at once."""
+        """Run one turn, waiting at most `longest` seconds for it.
+
+        Returns whether another decision is due at once.
+        """
         waits = [] if longest is None else [longest]
         if (due := self.deadlines.next_due()) is not None:
             waits.append(max(0.0, due - self._clock()))
         ready = self._selector.select(min(waits, default=None))
         self.previous_poll_at, self.now = self.now, self._clock()
         if self._first:
-            ready.sort(key=lambda heard: heard[0].fd not in self._first)
+            ready.sort(key=lambda event: event[0].fd not in self._first)
         for key, mask in ready:
             if self._selector.get_map().get(key.fd) is key:  # an earlier handler may have closed it
-                self._guard(lambda key=key, mask=mask: key.data(mask))  # type: ignore[misc]
-        heard = self._clock()
+                self._call(lambda key=key, mask=mask: key.data(mask))  # type: ignore[misc]
+        files_done = self._clock()
         for call in (*self.deadlines.pop_due(self.now), *self.pollers):
-            self._guard(call)
-        timed = self._clock()
+            self._call(call)
+        timers_done = self._clock()
         again = any([decider.turn(self.now) for decider in self.deciders])
-        self._watch_length(len(ready), heard, timed)
+        self._log_long_turn(len(ready), files_done, timers_done)
         return again
 
-    def _watch_length(self, ready: int, heard: float, timed: float) -> None:
-        """Log a turn that has kept everything else waiting, and which part of it did."""
+    def _log_long_turn(self, ready: int, files_done: float, timers_done: float) -> None:
+        """Log a turn that has delayed everything else, and how long each part of it took."""
         end = self._clock()
-        if end - self.now > LONG_TURN:
-            parts = f"{heard - self.now:.3f} s at {ready} files, {timed - heard:.3f} s at timers"
-            self.log("turn took long", f"{end - self.now:.3f} s: {parts}, {end - timed:.3f} s deciding")
-
-    def _guard(self, call: Callable[[], None]) -> None:
-        """One socket's failure must not take the others along."""
+        if end - self.now > LONG_TURN_S:
+            parts = (
+                f"{files_done - self.now:.3f} s at {ready} files, {timers_done - files_done:.3f} s at timers"
+            )
+            self.log("turn took long", f"{end - self.now:.3f} s: {parts}, {end - timers_done:.3f} s deciding")
+
+    def _call(self, call: Callable[[], None]) -> None:
+        """Call a handler and log its exception, so that the other handlers still run."""
         try:
             call()
         except Exception:
@@ -103,7 +120,7 @@
 
 
 class Timer:
-    """One deadline of its owner's that can be put off or called off; nothing once it has fallen due."""
+    """One deadline that can be moved or cancelled."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
@@ -111,13 +128,14 @@
 
     @property
     def running(self) -> bool:
+        """Whether it is set and not due yet."""
         return self._deadline is not None
 
     def set(self, seconds: float, call: Callable[[], None]) -> None:
-        """Call in so many seconds, in place of what was set before."""
+        """Call a function after some seconds; replaces an earlier setting."""
 
         def due() -> None:
-            if self._deadline is deadline:  # else called off in the very sweep in which it fell due
+            if self._deadline is deadline:  # else it was cancelled by a timer due in the same turn
                 self._deadline = None
                 call()
 
@@ -125,5 +143,6 @@
         deadline = self._deadline = self._loop.deadlines.set(self._loop.now + seconds, due)
 
     def cancel(self) -> None:
+        """Cancel it, if it is set."""
         self._loop.deadlines.cancel(self._deadline)
         self._deadline = None
