--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,14 +1,14 @@
-"""The scenario language of the network tests: who does what, a line each, against a router on loopback.
+"""Runs the scenarios of the network tests, one action per line, against a router on loopback.
 
-    client send ask id=r1 lane=fault-lookup     what is sent is named in `SAYINGS`
-    reader expect POST /v1/chat/completions     the party has received this text
-    reader close | reader reset                 its connection ends, in good order or not
-    reader close listening                      new connections to it are refused
-    client expect closed                        the router has ended the connection
-    wait 0.5                                    the router's clock goes on so far
+    client send ask id=r1 lane=fault-lookup     sends a message that `sayings` defines, with its arguments
+    reader expect POST /v1/chat/completions     waits until the party has received this text
+    reader close | reader reset                 closes or resets the party's connection
+    reader close listening                      refuses new connections to the party
+    client expect closed                        waits until the router has closed the connection
+    wait 0.5                                    advances the router's clock by this many seconds
 
-A party listens (workers, tool servers, discovery) or connects when first named (clients). Router, parties and
-clock share one thread: the clock is moved by hand, and nothing sleeps.
+A party listens (workers, tool servers, discovery) or connects when it is first named (clients). Router,
+parties and clock share one thread: the tests advance the clock, and nothing sleeps.
 """
 
 from __future__ import annotations
@@ -23,12 +23,14 @@
 from yewhook.operations.instance import Event
 from yewhook.service import Service
 
-PATIENCE = 3.0  # s of the router's time after which an expectation counts as missed
-SETTLE = 4  # turns before a wait
-STEP = 0.01  # s of the router's time in each turn of a wait
+EXPECT_TIMEOUT_S = 3.0  # of the router's clock, after which an expectation fails
+SETTLE_TURNS = 4  # before the clock is advanced
+STEP_S = 0.01  # of the router's clock, in each turn of a wait
 
 
 class Clock:
+    """A clock that tests advance; in seconds."""
+
     def __init__(self) -> None:
         self.now = 1000.0
 
@@ -37,7 +39,7 @@
 
 
 class RecordingLog(Log):
-    """Keeps the lines; a test can look for them."""
+    """Keeps the log lines for the tests to look at."""
 
     def __init__(self) -> None:
         super().__init__("test")
@@ -48,23 +50,28 @@
 
 
 class FakePeer:
-    """A client, a worker, a tool server or discovery: its newest connection and what came in on it."""
+    """A client, a worker, a tool server or discovery: its newest connection and the text received on it."""
+
+    def __init__(self, address: tuple[str, int] | None = None, keep_connections: bool = False) -> None:
+        """Listen, or connect to `address` when something is sent.
 
-    def __init__(self, address: tuple[str, int] | None = None, keeps: bool = False) -> None:
-        """`keeps` = connections before the newest one stay open."""
+        With `keep_connections`, earlier connections stay open when a new one is accepted.
+        """
         self.listener = None if address else socket.create_server(("127.0.0.1", 0))
         self.address: tuple[str, int] = address or self.listener.getsockname()  # type: ignore[union-attr]
         self.sock: socket.socket | None = None
-        self.unread = False  # whether it leaves in the kernel what it is sent
-        self.keeps, self.earlier = keeps, list[socket.socket]()
-        self.text, self.heard = "", ""  # what is not expected yet; all, on all connections
+        self.unread = False  # set by tests: do not read what is sent to it
+        self.keep_connections, self.earlier_sockets = keep_connections, list[socket.socket]()
+        self.text, self.heard = "", ""  # received after the last expected text; received on all connections
         self.ended, self.connections = False, 0
 
     @property
     def place(self) -> str:
+        """The address as HOST:PORT."""
         return f"{self.address[0]}:{self.address[1]}"
 
     def poll(self) -> None:
+        """Accept a connection and read what has arrived."""
         if self.listener is not None:
             self.listener.setblocking(False)
             try:
@@ -86,15 +93,17 @@
         self.heard += data.decode()
 
     def begin(self, sock: socket.socket) -> None:
+        """Use a new connection."""
         sock.setblocking(False)
-        # Else small writes wait for an acknowledgement, far longer than the moved clock allows for.
+        # Otherwise small writes wait for an acknowledgement, far longer than the tests' clock allows.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.sock is not None and self.keeps:
-            self.earlier.append(self.sock)
+        if self.sock is not None and self.keep_connections:
+            self.earlier_sockets.append(self.sock)
         self.sock, self.text, self.ended = sock, "", False
         self.connections += 1
 
     def send(self, data: bytes) -> None:
+        """Send bytes, on a new connection if there is none."""
         if self.sock is None:
             self.begin(socket.create_connection(self.address))
         assert self.sock is not None
@@ -103,19 +112,22 @@
         self.sock.setblocking(False)
 
     def stop_listening(self) -> None:
+        """Refuse new connections."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
 
     def close(self, reset: bool = False) -> None:
+        """Close or reset the newest connection."""
         assert self.sock is not None
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
         self.sock = None
 
-    def shut(self) -> None:
-        for sock in (self.sock, self.listener, *self.earlier):
+    def close_all(self) -> None:
+        """Close everything, at the end of a test."""
+        for sock in (self.sock, self.listener, *self.earlier_sockets):
             if sock is not None:
                 sock.close()
 
@@ -129,7 +141,7 @@
 
 
 class Play:
-    """A router's service, its parties, and the scenarios played on them."""
+    """A router's service, its parties, and the scenarios that run against them."""
 
     def __init__(self, sayings: dict[str, Callable[..., bytes]]) -> None:
         self.clock, self.log = Clock(), RecordingLog()
@@ -137,15 +149,20 @@
         self.parties: dict[str, FakePeer] = {}
         self.sayings = sayings
 
-    def turn(self, seconds: float = 0.0005, longest: float = 0.0005) -> None:
+    def turn(self, seconds: float = 0.0005, max_wait_s: float = 0.0005) -> None:
+        """Advance the clock, then run the router's loop and poll the parties.
+
+        The loop waits at most `max_wait_s` seconds of real time for events.
+        """
         self.clock.now += seconds
-        while self.service.loop.run_turn(longest):
+        while self.service.loop.run_turn(max_wait_s):
             pass
         for party in list(self.parties.values()):
             party.poll()
 
     def until(self, true: Callable[[], bool], what: str) -> None:
-        end = self.clock.now + PATIENCE
+        """Run turns until a condition holds; raises AssertionError with `what` after the timeout."""
+        end = self.clock.now + EXPECT_TIMEOUT_S
         while not true():
             if self.clock.now > end:
                 heard = {name: party.text[-300:] for name, party in self.parties.items()}
@@ -153,24 +170,26 @@
             self.turn()
 
     def wait(self, seconds: float) -> None:
-        for _ in range(SETTLE):  # what has been sent arrives before the clock goes on
+        """Advance the clock in steps, once what has been sent has arrived."""
+        for _ in range(SETTLE_TURNS):  # what has been sent arrives before the clock is advanced
             self.turn(0.0, 0.003)
-        for _ in range(round(seconds / STEP)):
-            self.turn(STEP)
+        for _ in range(round(seconds / STEP_S)):
+            self.turn(STEP_S)
 
     def play(self, scenario: str) -> Play:
+        """Run a scenario; raises AssertionError where an expectation fails."""
         for line in filter(str.strip, scenario.splitlines()):
-            who, verb, *rest = line.split(maxsplit=2)
+            party_name, verb, *rest = line.split(maxsplit=2)
             text = rest[0] if rest else ""
-            if who == "wait":
+            if party_name == "wait":
                 self.wait(float(verb))
                 continue
-            party = self.parties.get(who)
+            party = self.parties.get(party_name)
             if party is None:  # a further client
-                party = self.parties[who] = FakePeer(self.parties["client"].address)
+                party = self.parties[party_name] = FakePeer(self.parties["client"].address)
             if verb == "send":
-                name, *words = text.split()
-                party.send(self.sayings[name](**dict(word.split("=", 1) for word in words)))
+                name, *arguments = text.split()
+                party.send(self.sayings[name](**dict(argument.split("=", 1) for argument in arguments)))
             elif verb == "expect" and text == "closed":
                 self.until(partial(_ended, party), f"missed: {line}")
             elif verb == "expect":
@@ -183,8 +202,10 @@
         return self
 
     def sigterm(self) -> None:
+        """Deliver a SIGTERM to the service."""
         self.service.handle_event(Event.TERM)
 
     def end(self) -> None:
+        """Close all parties."""
         for party in self.parties.values():
-            party.shut()
+            party.close_all()
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -25,29 +25,29 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         connection = WorkerConnection(pool, listener.getsockname())
         connection.connected()
-        heard: tuple[list[int], list[str]] = ([], [])
+        received_parts: tuple[list[int], list[str]] = ([], [])
 
         class RecordingExchange:
             unfinished, event_count = False, 0
 
             def head_received(self, status: int, headers: dict[str, str]) -> None:
-                heard[0].append(status)
+                received_parts[0].append(status)
 
             def body_received(self, data: bytes) -> None:
-                heard[1].append(data.decode())
+                received_parts[1].append(data.decode())
 
             def completed(self) -> None:
-                heard[1].append("whole")
+                received_parts[1].append("whole")
 
             def failed(self, ending: Ending) -> None:
-                heard[1].append(ending.name)
+                received_parts[1].append(ending.name)
 
         connection.request(RecordingExchange(), lambda: b"")
         for part in parts:
             connection.received(part)
         kept = bool(pool._idle)
         connection.close()
-    return *heard, kept
+    return *received_parts, kept
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("parts", "statuses", "said", "kept"),
+    ("parts", "statuses", "body_parts", "kept"),
     [
         # An informational response ended the exchange as an error, though the final response followed it.
         ([b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD + LAST], [200], ["whole"], True),
@@ -74,9 +74,9 @@
     ],
 )
 def test_bytes_outside_a_response_are_not_taken_for_it(
-    parts: list[bytes], statuses: list[int], said: list[str], kept: bool
+    parts: list[bytes], statuses: list[int], body_parts: list[str], kept: bool
 ) -> None:
-    assert receive(*parts) == (statuses, said, kept)
+    assert receive(*parts) == (statuses, body_parts, kept)
 
 
 @pytest.mark.parametrize("how", ["chunk_size text=c0000000", "chunk_size text=zz"])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -168,14 +168,14 @@
 def test_what_waits_to_be_accepted_when_the_listener_closes_is_answered(p: Platform) -> None:
     # The kernel resets connections that have not been accepted when the listener closes.
     start_stream(p)
-    stop, came = p.front._acceptor.stop, list[object]()
+    stop, arrived = p.front._acceptor.stop, list[object]()
 
-    def come_then_stop() -> None:
-        if not came:
-            came.append(p.play("late send ask id=r2\nsecond send get path=/healthz"))
+    def arrive_then_stop() -> None:
+        if not arrived:
+            arrived.append(p.play("late send ask id=r2\nsecond send get path=/healthz"))
         stop()
 
-    p.front._acceptor.stop = come_then_stop  # type: ignore[method-assign]
+    p.front._acceptor.stop = arrive_then_stop  # type: ignore[method-assign]
     run_until_leaving(p)
     p.play("reader expect X-Txn: r2\nlate close\nsecond expect HTTP/1.1 503\nsecond expect closed")
 
@@ -368,9 +368,9 @@
     first = next(n for n in ("reader", "reader2") if p.parties[n].address == out.connection.address)
     second = "reader2" if first == "reader" else "reader"
     p.parties["discovery"].send(p.listed(first, state))
-    told = p.clock.now
+    list_sent_at = p.clock.now
     p.play(f'{second} expect {{"stream":true}}')
-    assert p.clock.now - told < 0.2  # earlier than the connect timeout
+    assert p.clock.now - list_sent_at < 0.2  # earlier than the connect timeout
     assert late[0].closed and "POST" not in p.parties[first].heard
     w = next(w for w in p.front.router._module.workers.values() if w.info.state is not ServerState.RUNNING)
     assert not w.pending and not w.reads
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -78,16 +78,20 @@
     """A router with a platform front, and its fake workers, clients and discovery."""
 
     def __init__(
-        self, fleet: dict[str, str], routers: int = 1, heard: bool = True, env: dict[str, Any] | None = None
+        self,
+        fleet: dict[str, str],
+        routers: int = 1,
+        wait_for_list: bool = True,
+        env: dict[str, Any] | None = None,
     ) -> None:
         """Start a front on loopback with a worker for each entry of `fleet`.
 
-        `heard` says that the router has waited for discovery's first list; `env` overrides settings.
+        `wait_for_list` says that the router has waited for discovery's first list; `env` overrides settings.
         """
         super().__init__(SAYINGS | {"list": self.listed})
         settings, names = parse_settings(ENV | {"instances": routers} | (env or {}))
         self.fleet = dict(fleet)  # tests may add to it
-        self.parties = {name: FakePeer() for name in fleet} | {"discovery": FakePeer(keeps=True)}
+        self.parties = {name: FakePeer() for name in fleet} | {"discovery": FakePeer(keep_connections=True)}
         self.config = config = Config(
             "test", ("127.0.0.1", 0), self.parties["discovery"].address, 7, settings, names,
             Limits(1024), 0.25, 30.0,
@@ -97,7 +101,7 @@
         self.front = PlatformFront(self.service.loop, config, room, lambda: self.config)
         self.service.fronts.append(self.front)
         self.service.begin()
-        if heard:
+        if wait_for_list:
             self.wait(FIRST_LIST_TIMEOUT_S + 0.05)
         self.parties["client"] = FakePeer(("127.0.0.1", self.front.port))
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -11,7 +11,7 @@
 from random import Random
 
 import pytest
-from scenario import STEP, FakePeer
+from scenario import STEP_S, FakePeer
 from test_platform import FLEET, Platform, chunk
 
 from yewhook.backoff import Backoff
@@ -48,7 +48,7 @@
     party, began = p.parties["discovery"], p.clock.now
     seen = party.connections
     while p.clock.now - began < seconds:
-        p.turn(STEP)
+        p.turn(STEP_S)
         if party.connections > seen and "\r\n\r\n" in party.text:
             seen = party.connections
             if answer(seen - 1):
@@ -131,7 +131,7 @@
     assert answer_calls(p, 4.0, lambda number: True) is not None
     first = party.sock
     assert answer_calls(p, 4.0, lambda number: True) is not None
-    assert first is not None and party.earlier[-1] is first
+    assert first is not None and party.earlier_sockets[-1] is first
     first.sendall(HEAD + drain(p))
     p.play("wait 0.1\nclient send ask\nclient expect HTTP/1.1 503")
     p.play("discovery expect closed")
@@ -203,7 +203,7 @@
 
 def test_a_process_that_starts_waits_for_discoverys_list() -> None:
     # Discovery's list counts as known from a process's first moment, and that of its configuration is older.
-    p = Platform(FLEET, heard=False)
+    p = Platform(FLEET, wait_for_list=False)
     assert not p.front.clients.mode.healthy
     p.play("discovery expect GET\ndiscovery send watch")
     p.parties["discovery"].send(drain(p))
@@ -213,7 +213,7 @@
 
 
 def test_a_process_is_ready_soon_without_an_answer_from_discovery() -> None:
-    p = Platform(FLEET, heard=False)
+    p = Platform(FLEET, wait_for_list=False)
     p.play(f"wait {FIRST_LIST_TIMEOUT_S + 0.05}\nclient send get path=/healthz\nclient expect 200")
     p.end()
 
--- a/yewhook/front.py
+++ b/yewhook/front.py
@@ -201,7 +201,7 @@
 class RouterFront:
     """Base of the fronts: connects a core router with clients and workers, and controls their lifecycle."""
 
-    front_name = ""  # of the kind of front, in one word
+    front_name = ""  # the kind of front
 
     def __init__(
         self,
--- a/yewhook/platform/clients.py
+++ b/yewhook/platform/clients.py
@@ -35,7 +35,7 @@
 DRAIN_REQUEST_TIMEOUT_S = 1.4  # from the start of a drain, in which a request may still arrive whole
 BAD_REQUEST_PAUSE_S = 0.5  # for which a connection is not read after an invalid request
 MAX_TOKENS = 1_000_000  # in a prompt, its prefix or its output; no body of the permitted size holds as many
-MAX_PATIENCE_S = 3600.0  # that a client may say it waits
+MAX_PATIENCE_S = 3600.0  # a longer X-Remaining is reduced to this
 STATUS_BY_ENDING = {Ending.TIMED_OUT: 504, Ending.UNSENT_IN_TIME: 504, None: 500}  # 502 for all others
 
 
@@ -93,7 +93,7 @@
 
 
 def parse_request(request: HttpRequest, names: Names, now: float) -> RequestArrived:
-    """Translates a request into the event for the routing module. Raises BadRequest."""
+    """Translate a request into the event for the routing module. Raises BadRequest."""
     headers = request.headers
     request_id = headers.get("x-txn", "")
     if not REQUEST_ID_PATTERN.fullmatch(request_id):
--- a/yewhook/platform/discovery.py
+++ b/yewhook/platform/discovery.py
@@ -59,7 +59,7 @@
         self._channel.send(http.head(f"GET {target} HTTP/1.1", {"Host": "discovery"}))
 
     def close(self) -> None:
-        """Close at once; the watch is not told."""
+        """Close at once, without calling the watch."""
         self._channel.abort()
 
     def connected(self) -> None:
@@ -112,7 +112,7 @@
         self._message.append(line)
         self._message_bytes += len(line) + 1
         if not line.rstrip().endswith(b"}"):
-            return None  # the message goes on
+            return None  # the message continues on the next line
         text = b"\n".join(self._message).decode().rstrip()
         try:
             message = json.loads(text)
--- a/yewhook/platform/workers.py
+++ b/yewhook/platform/workers.py
@@ -92,7 +92,7 @@
             self._compose_request = compose
 
     def close(self) -> None:
-        """Close at once; the exchange is not told."""
+        """Close at once, without calling the exchange."""
         address, liveness = self.address, self.pool.liveness
         if self.exchange is not None and liveness.heard(address) < self._requested_at:
             liveness.record_missed(address, self.pool.loop.now)  # nothing has arrived since the request
@@ -299,7 +299,7 @@
         self._load: interface.Load | None = None
 
     def begin(self, address: Address, compose: Callable[[], bytes], within: float) -> None:
-        """Send the request; the connection must be up within so many seconds."""
+        """Send the request; the connection must be up within `within` seconds."""
         self.connection = self.workers.pool.request(address, self, compose)
         self.connection.limit_connect_time(within)
 
