--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -23,14 +23,18 @@
     def __init__(self) -> None:
         self.data, self.ends = b"", list[OSError | None]()
 
-    def connected(self) -> None: ...
+    def connected(self) -> None:
+        """Not recorded."""
 
-    def drained(self) -> None: ...
+    def drained(self) -> None:
+        """Not recorded."""
 
     def received(self, data: bytes) -> None:
+        """Append the bytes."""
         self.data += data
 
     def lost(self, error: OSError | None) -> None:
+        """Append the cause of the end."""
         self.ends.append(error)
 
 
@@ -41,10 +45,12 @@
     sending: list[int]  # failures of `send` only
 
     def recv(self, size: int, flags: int = 0) -> bytes:
+        """Fail, or receive bytes."""
         self._fail()
         return super().recv(size, flags)
 
     def send(self, data: bytes, flags: int = 0) -> int:  # type: ignore[override]
+        """Fail, or send bytes."""
         self._fail()
         if self.sending:
             raise OSError(self.sending.pop(), "injected")
@@ -68,18 +74,21 @@
         self.channel = Channel(self.loop, self.sock, self.owner)
 
     def until(self, true: Callable[[], bool]) -> None:
+        """Run turns until a condition holds; fails after the timeout."""
         end = time.monotonic() + TIMEOUT_S
         while not true():
             assert time.monotonic() < end
             self.loop.run_turn(0.01)
 
     def close(self) -> None:
+        """Close both ends."""
         self.channel.abort()
         self.peer.close()
 
 
 @pytest.fixture
 def pair() -> Iterator[Pair]:
+    """A new connection, closed after the test."""
     made = Pair()
     yield made
     made.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,6 +26,7 @@
 
 
 def start_stream(p: Platform, request: str = "r1", client: str = "client") -> None:
+    """Send a request and let its stream begin."""
     p.play(f"""
         {client} send ask id={request}
         reader expect {{"stream":true}}
@@ -309,6 +310,7 @@
 
 @pytest.fixture
 def keyed() -> Iterator[Platform]:
+    """A router whose workers recognize repeats by their key for one second."""
     classes = [c | KEYED for c in ENV["classes"]]
     platform = Platform({"one": "mixed", "two": "mixed"}, env={"classes": classes})
     yield platform
@@ -316,6 +318,7 @@
 
 
 def attempted_and_other(p: Platform) -> tuple[str, str]:
+    """Returns the name of the worker that has received the first attempt, and that of the other."""
     p.until(lambda: any("stream" in p.parties[n].text for n in ("one", "two")), "an attempt")
     first = "one" if "stream" in p.parties["one"].text else "two"
     return first, "two" if first == "one" else "one"
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -17,6 +17,7 @@
 
 
 def deadline_of_only_request(p: Platform) -> float:
+    """Returns the deadline of the one open request, by the router's clock."""
     (life,) = p.front.router.requests.values()
     return life.deadline
 
@@ -102,6 +103,7 @@
 
 
 def start_stream(p: Platform) -> None:
+    """Send a request and let its stream begin."""
     p.play(begin() + "writer send stream\nwriter send event text=one\nclient expect one")
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -121,6 +121,7 @@
 
 
 def table_sizes(p: Platform) -> list[int]:
+    """Returns the sizes of the tables whose entries must be removed in the end."""
     module, router, worker_list = p.front.router._module, p.front.router, p.front.worker_list
     tables: list[Sized] = [
         module.workers, module.requests, module.prefix_cache.uses, module.popularity.seen, module.sessions,
@@ -133,6 +134,7 @@
 
 
 def wait_400_s(p: Platform) -> None:
+    """Let 400 s pass, after which everything that has gone must have been forgotten."""
     for _ in range(400):
         p.turn(1.0, 0.0)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -425,6 +425,7 @@
 
 @pytest.fixture
 def one_of_200_routers() -> Iterator[Platform]:
+    """A router in a tier of 200, which share one discovery."""
     platform = Platform(FLEET, routers=200)
     yield platform
     platform.end()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -23,6 +23,7 @@
 
 @pytest.fixture(params=[4, 40, 200])
 def tier(request: pytest.FixtureRequest) -> Iterator[Platform]:
+    """A router in a tier of several sizes."""
     platform = Platform(FLEET, routers=request.param)
     yield platform
     platform.end()
@@ -57,10 +58,12 @@
 
 
 def reset(p: Platform) -> None:
+    """The connection is reset."""
     p.play("discovery reset")
 
 
 def closed(p: Platform) -> None:
+    """The connection is closed in the middle of the response."""
     p.play("discovery close")
 
 
@@ -69,18 +72,22 @@
 
 
 def garbled(p: Platform) -> None:
+    """A message is not JSON."""
     p.parties["discovery"].send(chunk('{"generation": 2, "instances": [}\n'))
 
 
 def not_an_object(p: Platform) -> None:
+    """A message is JSON but not an object."""
     p.parties["discovery"].send(chunk("[]\n"))
 
 
 def bad_chunk(p: Platform) -> None:
+    """The chunked encoding is malformed."""
     p.parties["discovery"].send(b"zz\r\n")
 
 
 def ended(p: Platform) -> None:
+    """The response is ended with the last chunk."""
     p.parties["discovery"].send(b"0\r\n\r\n")
 
 
--- a/yewhook/channel.py
+++ b/yewhook/channel.py
@@ -81,7 +81,7 @@
 
     @property
     def written(self) -> bool:
-        """Whether all bytes have been handed to the kernel; it stays true or false after a close."""
+        """Whether all bytes have been handed to the kernel; after a close, as it was then."""
         return not self._unsent and not self._closed_with_unsent
 
     @property
--- a/yewhook/platform/clients.py
+++ b/yewhook/platform/clients.py
@@ -32,7 +32,8 @@
 REQUEST_TIMEOUT_S = 2.2  # for a request to arrive whole; on a new connection, counted from its acceptance
 UNREAD_GRACE_S = 0.02  # added to that timeout where the kernel holds unread bytes at that moment
 IDLE_TIMEOUT_S = 10.0  # after which a connection without a request is closed
-DRAIN_REQUEST_TIMEOUT_S = 1.4  # from the start of a drain, in which a request may still arrive whole
+# Time in state DRAINED, in which clients open no new connections, for requests to arrive whole
+DRAIN_REQUEST_TIMEOUT_S = 1.4
 BAD_REQUEST_PAUSE_S = 0.5  # for which a connection is not read after an invalid request
 MAX_TOKENS = 1_000_000  # in a prompt, its prefix or its output; no body of the permitted size holds as many
 MAX_PATIENCE_S = 3600.0  # a longer X-Remaining is reduced to this
@@ -236,7 +237,7 @@
             return
         self._count_head_bytes(len(name) + len(value))
         if not self._in_head:
-            return  # a trailer field after a chunked body; these are ignored
+            return  # a trailer field after a chunked body: it must not change how the request is handled
         header_name = name.decode("latin-1").lower()
         if header_name in self.receiving.headers and header_name in SINGLE_VALUE_HEADERS:
             raise BadRequest(400, f"{header_name}: more than once")
@@ -465,7 +466,7 @@
 
     def __init__(self, loop: Loop, router: Router, names: Names, max_buffered_body_bytes: int) -> None:
         """`max_buffered_body_bytes` bounds the request bodies in memory, over all connections."""
-        self._drain_began_at = math.inf
+        self._drained_since = math.inf
         super().__init__(loop, IDLE_TIMEOUT_S)
         self.router, self.names, self.log = router, names, loop.log
         self.buffered_body_bytes, self.max_buffered_body_bytes = 0, max_buffered_body_bytes
@@ -481,13 +482,13 @@
             connection.close_to_free_socket()
 
     def set_mode(self, mode: FrontMode) -> None:
-        """Put a mode in force; accepting while closing idle connections is the beginning of a drain."""
-        self._drain_began_at = self.loop.now if mode.accepting and mode.close_idle else math.inf
+        """Put a mode in force; only state DRAINED accepts connections and closes idle ones."""
+        self._drained_since = self.loop.now if mode.accepting and mode.close_idle else math.inf
         super().set_mode(mode)
 
     def _sweep(self) -> None:
         super()._sweep()
-        if self.loop.now - self._drain_began_at >= DRAIN_REQUEST_TIMEOUT_S:
+        if self.loop.now - self._drained_since >= DRAIN_REQUEST_TIMEOUT_S:
             self._refuse_incomplete_requests()
 
     def end(self) -> None:
--- a/yewhook/platform/front.py
+++ b/yewhook/platform/front.py
@@ -87,7 +87,7 @@
         listener = adopt_listener(config.accept_fd) if config.accept_fd is not None else None
         self.open(self.clients, config.listen, budget, "the platform's", listener)
         self._close_unused_throttle = Throttle(loop, self._close_unused)
-        # The router's seed differs at each start and at each router.
+        # The seed differs at each start and each router, so that the retries of the routers are spread.
         self.watch = Watch(
             loop, config.discovery, generation, self.worker_list, self._listed,
             config.settings.instances, Random(config.seed),
