--- a/hopshed/control.py
+++ b/hopshed/control.py
@@ -1,8 +1,8 @@
-"""All of hopshed's decisions. Types, events and actions are listed in `interface.py`, beside this file.
+"""hopshed's decision logic. Its settings, events and actions are defined in `interface.py`, in this folder.
 
-The mechanism (AIBrix RFC, issue #633): a heap ordered by sessions' accumulated service time (CST), batches
-sized to the free room at writers, a turn to its session's last reader or the one hashed from its beginning,
-of two random writers the one with fewer of our streams. Departures say so where they stand.
+Design (AIBrix RFC, issue #633): held requests, ordered by their session's accumulated service time (CST), are
+admitted in batches sized to the free room at writers; a turn goes to its session's last reader, or to the one
+its prefix hashes to, then to one of two random writers. "Departure" marks a difference from that design.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 from statistics import median
 from typing import Any
 
-from . import interface as i
+from . import interface
 from .estimate import Estimate
 from .fleet import Fleet
 from .free_room import REPORT_TTL, FreeRoom
 from .gossip import NO_PREFIX, Gossip, ReadSent, SlowServer, short_tag
 from .health import Health
 from .hold_queue import HoldQueue
+from .interface import AttemptEnded, Effect, Group, ListKind, Log, Outcome, Role, ServerState, Settings, Tell
 from .popularity import Popularity
 from .prefix_cache import PrefixCacheIndex
 from .probes import Probes
@@ -33,67 +34,70 @@
 from .topology import Topology
 from .zone_reachability import ZoneReachability
 
-TICK, LOOK_EVERY = 0.05, 4  # s; ticks between looks over the fleet
-SESSION_IDLE, ORDERS_KEPT = 60.0, 500  # s unused until sessions and kept texts are dropped; hash orders kept
-LOAD_BOUND = 2.0  # a reader holding over this times the median of our reads is passed over
-GAIN, SLOW_GAIN = 0.25, 0.05  # weight of a sample in averages
-DRAG_MAX, READ_SHARE = 4.0, 0.6  # most that one stream counts for in drag; reading's part at mixed servers
-LEAVE_GAIN, LEAVE_FADE, LEAVE_SHARE = 0.05, 0.0125, 0.5  # share of clients leaving whose age bounds the aim
-SPARE_HOMES = 2  # readers beyond its homes that a turn may go to
-COMFORT, AIM_MARGIN = 0.6, 0.6  # of the time left, to keep a reader; of the aim; near it many are late
-TOLD_SPARE, TOLD_MARGIN = 4, 0.8  # the two where queues are told
-OTHERS = 1.0  # weight of the time that a read takes from others, against its own
-SLOW_START_TOKEN, SLOW_START_MIN = 4.0, 0.3  # a wait so many times the writer's floor, and s, is slow
-READ_TIMEOUT = (1.0, 4.0)  # s, and times the expected read
-WRITE_TIMEOUT = (2.0, 6.0)  # s, and times the expected wait for a first token
-RETRY_RATIO, RETRY_CAP = 0.5, 20.0  # retry budget: earned by each arrival, and its size
-ON_ITS_WAY = 0.1  # s that a repeat may take to a server: one that comes after its window is no repeat
-STATE_HOLD = 0.6  # part of the release limit for which a state may wait for a writer
-RETRY_AFTER, LAST_CALL = (0.2, 0.8), 0.1  # s; advice to refused clients, spread; time kept for the answer
-MOVE_SHARE = 0.34  # part of our streams that a silent server moves
-RESUMED_AIMS = 2.0  # aims that a stream which comes back may take to go on
-LOG_EVERY, ASK_FIRST = 5.0, 0.5  # s between log lines; s until a failed list call is repeated
-OVER_MARGIN = 0.5  # part of the time left that a turn beyond its client's quota does without
+TICK_S = 0.05  # interval of the timer
+CHECK_TICKS = 4  # ticks between checks for silent servers and due probes
+IDLE_LIMIT_S = 60.0  # sessions and cached prefixes that were not used for so long are dropped
+MAX_HOME_ORDERS = 500  # rendezvous orders cached for each role
+READ_BOUND = 2.0  # a reader with more reads than this times the median of its candidates is passed over
+GAIN = 0.25  # weight of a sample in a fast moving average
+SLOW_GAIN = 0.05  # weight of a sample in a slow moving average
+DRAG_MAX = 4.0  # upper bound of one stream's sample of a server's drag
+MIXED_READ_SHARE = 0.6  # share of their time that mixed servers may spend on reading
+LEAVE_GAIN = 0.05  # weight of one client that leaves, or stays, in the share of clients that leave
+LEAVE_FADE = 0.0125  # the same of a request that is not served
+LEAVE_SHARE = 0.5  # share of leaving clients above which their age bounds the aim; a lower one hurts the rest
+SPARE_HOMES = 2  # readers beyond a prefix's homes that a turn may go to
+ACCEPT_SHARE = 0.6  # share of the time left; a reader expected to take no more is accepted at once
+AIM_MARGIN = 0.6  # share of the aim that an expected read may take, as estimates err and many would be late
+BACKLOG_SPARE_HOMES = 4  # SPARE_HOMES where routers share their backlogs
+BACKLOG_AIM_MARGIN = 0.8  # AIM_MARGIN where routers share their backlogs
+READ_COST_WEIGHT = 1.0  # weight of the time that a read takes from other requests, against its own delay
+SLOW_TOKEN_FACTOR = 4.0  # a first token is slow if it takes longer than this times the writer's shortest
+SLOW_TOKEN_MIN_S = 0.3  # and longer than this
+READ_TIMEOUT = (1.0, 4.0)  # seconds, plus this many times the expected read
+WRITE_TIMEOUT = (2.0, 6.0)  # seconds, plus this many times the expected wait for a first token
+RETRY_RATIO = 0.5  # retries that each arrival adds to the retry budget
+RETRY_CAP = 20.0  # retries; size of the retry budget
+REPEAT_TRANSIT_S = 0.1  # time for a repeat to reach its server, which must be within the dedup window
+STATE_HOLD_SHARE = 0.6  # share of the release limit for which a read state may wait for a writer
+RETRY_AFTER_S = (0.2, 0.8)  # range of the random retry advice to refused clients
+ANSWER_TIME_S = 0.1  # time reserved for the final answer
+MOVE_SHARE = 0.34  # share of this router's streams that are moved when a server is ejected as silent
+RESUMED_AIM_FACTOR = 2.0  # multiple of its aim that a resumed stream may take
+LOG_INTERVAL_S = 5.0  # shortest time between summaries in the log
+RESUBSCRIBE_DELAY_S = 0.5  # first delay until a failed subscription is repeated
+OVER_QUOTA_MARGIN = 0.5  # share of the time left that a turn over its tenant's quota must do without
 
 
 class Controller:
-    """One router's decisions. `handle` takes what happened and returns what to do; it keeps no clock."""
+    """One router's decisions: `handle` takes events and returns actions. No clock, no I/O."""
 
     def __init__(
-        self, settings: i.Settings, seed: int, explain: Callable[[str, str], None] | None = None
+        self, settings: Settings, seed: int, explain: Callable[[str, str], None] | None = None
     ) -> None:
-        """`explain` hears the id of each request that is not served, and why, for the log."""
+        """`explain` is called with the id of each request that is not served, and the reason."""
         self.settings, self.random = settings, Random(seed)
         self._explain = explain
         self.load_reported = not {"utilization", "memory_share"}.isdisjoint(settings.report_fields)
-        self.queues_reported = bool(
-            {"queued", "backlog_tokens"} & set(settings.report_fields)
-        )  # readers' queues
+        self.queues_reported = bool({"queued", "backlog_tokens"} & set(settings.report_fields))  # by readers
         self.fleet = Fleet()
         self.workers = self.fleet.workers
-        self.reads_in_flight, self.attempts_in_flight = (
-            0,
-            0,
-        )  # attempts at readers that are out, and all that are
-        self.sessions: dict[str, Session] = {}
+        self.reads_in_flight, self.attempts_in_flight = 0, 0  # at readers only; at all servers
+        self.sessions: dict[str, Session] = {}  # in the order of last use
         self.requests: dict[str, Request] = {}
         self.queue = HoldQueue()
-        self.admission_threshold = self.random.random()
-        self.home_orders = {role: Rendezvous(ORDERS_KEPT) for role in (i.Role.READER, i.Role.MIXED)}
-        self.mean_reader_weight = 1.0  # weight of readers, on average
-        self.home_weights_stale = False  # the list has changed since `ranks` and `lean` were worked out
+        self.admission_threshold = self.random.random()  # free room needed for the next admission
+        self.home_orders = {role: Rendezvous(MAX_HOME_ORDERS) for role in (Role.READER, Role.MIXED)}
+        self.mean_reader_weight = 1.0  # mean weight of readers as homes
+        self.home_weights_stale = False  # the server list has changed since the weights were computed
         self.topology = Topology()
         self.room = FreeRoom(settings, self.topology)
-        self.service_level = i.ServiceLevel()
-        self.read_load = {role: Estimate() for role in i.Role}  # servers' time that reads of ours take, s a s
+        self.level = interface.ServiceLevel()
+        self.read_load = {role: Estimate() for role in Role}  # server seconds a second that our reads take
         self.popularity, self.slow_start, self.zones = Popularity(), SlowStart(settings), ZoneReachability()
         self.paces, self.prefix_cache = ReadPaces(), PrefixCacheIndex()
-        self.mean_prompt_tokens = self.mean_fresh_tokens = (
-            0.0  # mean tokens of a prompt; those that were not kept
-        )
-        self.leaving_share, self.mean_leaving_age = (
-            [0.0] * max(1, len(settings.tenants)) for _ in range(2)
-        )  # by tenant
+        self.mean_prompt_tokens = self.mean_fresh_tokens = 0.0  # fresh tokens are those not found cached
+        self.leaving_share, self.mean_leaving_age = ([0.0] * max(1, len(settings.tenants)) for _ in range(2))
         self.mean_stream_time, self.mean_class_tokens = ([0.0] * len(settings.classes) for _ in range(2))
         self.retry_budget = RETRY_CAP
         self.quotas, self.gossip = Quotas(settings), Gossip(settings)
@@ -102,665 +106,703 @@
         self.probes = Probes(settings, self.health)
         self.timer_token = 0
         self.logged_at = -math.inf
-        self.resubscribe_at, self.resubscribe_delay = math.inf, ASK_FIRST
-        self.actions: list[i.Action] = []
-        self.unserved_counts: dict[str, int] = {}  # for the log: what was refused or tried again, and why
+        self.resubscribe_at, self.resubscribe_delay = math.inf, RESUBSCRIBE_DELAY_S
+        self.actions: list[interface.Action] = []
+        self.unserved_counts: dict[str, int] = {}  # reason -> requests not served since the last summary
         self.handlers: dict[type, Callable[[Any, float], None]] = {
-            i.RequestArrived: self._arrived,
-            i.AttemptEnded: self._ended,
-            i.StreamStarted: self._started,
-            i.ClientGone: self._gone,
-            i.ProbeEnded: self._probed,
-            i.ServersListed: self._listed,
-            i.TimerFired: self._tick,
-            i.ServiceLevel: self._level,
-            i.PeerSaid: self._told_of,
-            i.WarmRates: self._took,
-            i.StateReleased: self._released,
+            interface.RequestArrived: self._request_arrived,
+            interface.AttemptEnded: self._attempt_ended,
+            interface.StreamStarted: self._stream_started,
+            interface.ClientGone: self._client_gone,  # cancels and drops its request
+            interface.ProbeEnded: self._probe_ended,  # takes in the load, or ejects a silent server
+            interface.ServersListed: self._servers_listed,
+            interface.TimerFired: self._timer_fired,  # does the periodic work
+            interface.ServiceLevel: self._level_set,  # applies to later requests
+            interface.PeerSaid: self._peer_said,  # takes in gossip of other routers
+            interface.WarmRates: self._warm_rates_given,  # takes in rates from before all servers were lost
+            interface.StateReleased: self._state_released,
         }
 
-    def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
+    def handle(self, now: float, events: list[interface.Event]) -> list[interface.Action]:
+        """Take in the events of one round of the event loop, in order; returns the actions they lead to."""
         self.actions = []
         if not self.timer_token:
             self._set_timer()
-            self.actions += [i.Subscribe()] if self.settings.subscribe else []
-        for ev in events:
-            self.handlers[type(ev)](ev, now)
-        self._pump(now)
-        for ev in events:  # a client may come with less time left than the next tick needs
-            req = self.requests.get(ev.id) if isinstance(ev, i.RequestArrived) else None
-            if req is not None and req.held and req.deadline - now < LAST_CALL + TICK:
-                self._finish(req, "no room in time")
-            elif req is not None and req.held and self.service_level.certain and not req.arrival.resumed:
-                self._finish(req, "no certain room", gave_way=True)
+            self.actions += [interface.Subscribe()] if self.settings.subscribe else []
+        for event in events:
+            self.handlers[type(event)](event, now)
+        self._admit_held(now)
+        for event in events:  # requests that cannot wait for the next tick, or must not wait at all
+            request = self.requests.get(event.id) if isinstance(event, interface.RequestArrived) else None
+            if request is not None and request.held and request.deadline - now < ANSWER_TIME_S + TICK_S:
+                self._reject(request, "no room in time")
+            elif request is not None and request.held and self.level.certain and not request.event.resumed:
+                self._reject(request, "no certain room", gave_way=True)
         return self.actions
 
-    def _told_of(self, ev: i.PeerSaid, now: float) -> None:
+    def _peer_said(self, event: interface.PeerSaid, now: float) -> None:
         try:
-            word = self.gossip.receive(ev.data, now)
+            message = self.gossip.receive(event.data, now)
         except ValueError as error:
-            return self.actions.append(i.Log(f"router {ev.sender} sent {error}"))
-        if isinstance(word, SlowServer) and (w := self.workers.get(word.server)) is not None:
-            w.backlog.wait_reported(word.wait, now)
-            w.wait, w.wait_at = max(word.wait, self.waits.of_server(w, now)), now
-        elif isinstance(word, ReadSent):
-            for w in [self.workers[n] for n in word.servers if n in self.workers]:
-                w.backlog.add(word.work, now)
-                self.prefix_cache.record_use(w.info.id, word.prefix_tag, now)
-
-    def _level(self, ev: i.ServiceLevel, now: float) -> None:
-        self.service_level = ev
-
-    def _took(self, ev: i.WarmRates, now: float) -> None:
-        self.slow_start.warm_rates_before_loss.update(ev.rates)
+            return self.actions.append(Log(f"router {event.sender} sent {error}"))
+        if isinstance(message, SlowServer) and (worker := self.workers.get(message.server)) is not None:
+            worker.backlog.wait_reported(message.wait, now)
+            worker.wait, worker.wait_at = max(message.wait, self.waits.of_server(worker, now)), now
+        elif isinstance(message, ReadSent):
+            for worker in [self.workers[n] for n in message.servers if n in self.workers]:
+                worker.backlog.add(message.work, now)
+                self.prefix_cache.record_use(worker.info.id, message.prefix_tag, now)
+
+    def _level_set(self, event: interface.ServiceLevel, now: float) -> None:
+        self.level = event
+
+    def _warm_rates_given(self, event: interface.WarmRates, now: float) -> None:
+        self.slow_start.warm_rates_before_loss.update(event.rates)
         self.slow_start.invalidate()
 
-    def _listed(self, ev: i.ServersListed, now: float) -> None:
-        if ev.kind is i.ListKind.FAILED:  # ask again, later each time; the old list stays good meanwhile
+    def _servers_listed(self, event: interface.ServersListed, now: float) -> None:
+        """Take in a server list or changes to it; a failure keeps the old list and subscribes again later."""
+        if event.kind is ListKind.FAILED:
             self.resubscribe_at = now + self.resubscribe_delay if self.settings.subscribe else math.inf
             self.resubscribe_delay = min(2 * self.resubscribe_delay, self.settings.ask_within / 2)
             return
-        self.resubscribe_delay = ASK_FIRST
-        only_changes = ev.kind is i.ListKind.CHANGES
+        self.resubscribe_delay = RESUBSCRIBE_DELAY_S
+        only_changes = event.kind is ListKind.CHANGES
         changed: list[Worker] = []
         started: list[Worker] = []
-        for info in ev.servers:
-            w = self.workers.get(info.id)
-            if w is None:
+        for info in event.servers:
+            worker = self.workers.get(info.id)
+            if worker is None:
                 if not 0 <= info.kind < len(self.settings.roles):
                     continue
                 listed = now if only_changes else -math.inf
-                w = self.workers[info.id] = Worker(info, self.settings.roles[info.kind], now, listed)
-                started.append(w)
-            elif info.started != w.info.started and info.started is not None:  # a new process
-                w.reset(now)
-                w.info, w.listed = info, now
-                started.append(w)
+                worker = self.workers[info.id] = Worker(info, self.settings.roles[info.kind], now, listed)
+                started.append(worker)
+            elif info.started != worker.info.started and info.started is not None:  # a new process
+                worker.reset(now)
+                worker.info, worker.listed = info, now
+                started.append(worker)
                 self.prefix_cache.server_restarted(info.id)
-            w.info, w.known_usable = info, False
-            w.gone_at = now if info.state is i.ServerState.GONE else math.inf
-            changed.append(w)
+            worker.info, worker.known_usable = info, False
+            worker.gone_at = now if info.state is ServerState.GONE else math.inf
+            changed.append(worker)
         if only_changes:
             self.fleet.update(changed)
         else:
             self.fleet.rebuild()
         self.slow_start.invalidate()
-        for w in started:  # once all of its peers are known
-            self.slow_start.start(w, self._peers(w), self.random.random(), now)
+        for worker in started:  # only now are all of its peers known
+            self.slow_start.start(worker, self._peers(worker), self.random.random(), now)
         if only_changes:
-            self._changed(changed, started)
+            self._apply_changes(changed, started)
         else:
-            self._replaced({info.id for info in ev.servers}, now)
+            self._apply_full_list({info.id for info in event.servers}, now)
         self.slow_start.invalidate()
         self.home_weights_stale = True
 
-    def _changed(self, changed: list[Worker], started: list[Worker]) -> None:
-        """What follows from changes to the list costs their number, however many servers there are."""
-        for w in started:
-            self.gossip.add_server(w.info.id)
+    def _apply_changes(self, changed: list[Worker], started: list[Worker]) -> None:
+        """Pass changes on to the parts; the cost depends on their number and not on the fleet's size."""
+        for worker in started:
+            self.gossip.add_server(worker.info.id)
         self.topology.update(changed)
 
-    def _replaced(self, named: set[int], now: float) -> None:
-        """A whole list has come: what it does not name is gone."""
-        for w in [w for n, w in self.workers.items() if n not in named]:
-            w.info, w.gone_at = w.info._replace(state=i.ServerState.GONE), min(now, w.gone_at)
-            w.known_usable = False
+    def _apply_full_list(self, listed: set[int], now: float) -> None:
+        """Mark the servers that a full list does not name as gone, and pass the list on to the parts."""
+        for worker in [worker for number, worker in self.workers.items() if number not in listed]:
+            worker.info = worker.info._replace(state=ServerState.GONE)
+            worker.gone_at = min(now, worker.gone_at)
+            worker.known_usable = False
         self.fleet.rebuild()
         self.gossip.set_servers(self.workers)
         self.topology.rebuild(self.workers.values())
 
-    def _weigh_homes(self) -> None:
-        """Work out the weights of homes by the present list, if that has changed since."""
+    def _refresh_home_weights(self) -> None:
+        """Compute the weights of homes anew if the server list has changed."""
         if not self.home_weights_stale:
             return
         self.home_weights_stale = False
-        for role, ranks in self.home_orders.items():
-            ranks.set_weights(self.topology.home_weights(self.fleet.by_role[role]))
-        lean = self.home_orders[i.Role.READER].weights.values()
-        self.mean_reader_weight = sum(lean) / max(1, len(lean))
-
-    def _gone(self, ev: i.ClientGone, now: float) -> None:
-        req = self.requests.get(ev.id)
-        if req is not None and not req.done:
-            self.leaving_share[req.tenant] += LEAVE_GAIN * (1.0 - self.leaving_share[req.tenant])
-            self.mean_leaving_age[req.tenant] += GAIN * (
-                now - req.arrived_at - self.mean_leaving_age[req.tenant]
+        for role, orders in self.home_orders.items():
+            orders.set_weights(self.topology.home_weights(self.fleet.by_role[role]))
+        weights = self.home_orders[Role.READER].weights.values()
+        self.mean_reader_weight = sum(weights) / max(1, len(weights))
+
+    def _client_gone(self, event: interface.ClientGone, now: float) -> None:
+        request = self.requests.get(event.id)
+        if request is not None and not request.done:
+            self.leaving_share[request.tenant] += LEAVE_GAIN * (1.0 - self.leaving_share[request.tenant])
+            self.mean_leaving_age[request.tenant] += GAIN * (
+                now - request.arrived_at - self.mean_leaving_age[request.tenant]
             )
-            self._close(req)
+            self._close(request)
 
-    def _released(self, ev: i.StateReleased, now: float) -> None:
-        """An attempt that is out may have it still; any later one has to begin with a read."""
-        if (req := self.requests.get(ev.id)) is not None:
-            req.state_reader = None
+    def _state_released(self, event: interface.StateReleased, now: float) -> None:
+        """An attempt in flight may have fetched the state; any later one has to begin with a read."""
+        if (request := self.requests.get(event.id)) is not None:
+            request.state_reader = None
 
-    def _arrived(self, ev: i.RequestArrived, now: float) -> None:
-        aim = self.settings.classes[ev.cls].aim_of(ev.prompt_tokens)
-        tenant = min(ev.tenant, len(self.leaving_share) - 1)
+    def _request_arrived(self, event: interface.RequestArrived, now: float) -> None:
+        """Hold a new request until it is admitted; the level of service may admit only a share of them."""
+        aim = self.settings.classes[event.cls].aim_of(event.prompt_tokens)
+        tenant = min(event.tenant, len(self.leaving_share) - 1)
         if self.leaving_share[tenant] > LEAVE_SHARE:
-            # Reads for clients who leave early run on and serve nobody (i547495); hurts if only some hurry.
-            aim = min(aim, self.mean_leaving_age[tenant])
-        if ev.resumed:  # its stream has begun elsewhere, and a refusal costs all of it; late, only a part
-            aim = min(RESUMED_AIMS * aim, ev.patience)
-        req = self.requests[ev.id] = Request(ev, tenant, now, now + ev.patience, now + aim)
-        self.popularity.prefix_arrived(ev.prefix, now)
-        req.service_time = self.sessions[ev.session].cst if ev.session in self.sessions else 0.0
+            aim = min(aim, self.mean_leaving_age[tenant])  # later reads would run on and serve nobody
+        if event.resumed:  # a refusal would lose all that was streamed elsewhere, lateness only a part
+            aim = min(RESUMED_AIM_FACTOR * aim, event.patience)
+        request = self.requests[event.id] = Request(event, tenant, now, now + event.patience, now + aim)
+        self.popularity.prefix_arrived(event.prefix, now)
+        request.service_time = self.sessions[event.session].cst if event.session in self.sessions else 0.0
         self.waits.request_arrived(now)
         self.retry_budget = min(RETRY_CAP, self.retry_budget + RETRY_RATIO)
         self.probes.request_arrived()
-        old = self.mean_class_tokens[ev.cls]
-        self.mean_class_tokens[ev.cls] = (
-            old + SLOW_GAIN * (ev.prompt_tokens - old) if old else ev.prompt_tokens
+        mean = self.mean_class_tokens[event.cls]
+        self.mean_class_tokens[event.cls] = (
+            mean + SLOW_GAIN * (event.prompt_tokens - mean) if mean else event.prompt_tokens
         )
-        self.room.request_arrived(ev.prompt_tokens + ev.max_tokens / 2)
-        req.over_quota = self.quotas.over_quota(ev.tenant, now)
-        if ev.admit < 1.0 and self.random.random() >= ev.admit:
-            req.held = False
-            return self._finish(req, f"gave way at {self.service_level.name or 'full'}", gave_way=True)
-        self.queue.push(req, now)
-
-    def _started(self, ev: i.StreamStarted, now: float) -> None:
-        req, a = self._attempt(ev.id, ev.attempt)
-        if req is None or a is None or not a.live or a.streaming:
+        self.room.request_arrived(event.prompt_tokens + event.max_tokens / 2)
+        request.over_quota = self.quotas.over_quota(event.tenant, now)
+        if event.admit < 1.0 and self.random.random() >= event.admit:
+            request.held = False
+            return self._reject(request, f"gave way at {self.level.name or 'full'}", gave_way=True)
+        self.queue.push(request, now)
+
+    def _stream_started(self, event: interface.StreamStarted, now: float) -> None:
+        """Learn from the time to the first token: the server's wait, backlog, floor and stream limit."""
+        request, attempt = self._find_attempt(event.id, event.attempt)
+        if request is None or attempt is None or not attempt.live or attempt.streaming:
             return
-        a.streaming, a.first_token_time, req.state_reader = True, ev.latency, None
-        self.leaving_share[req.tenant] *= 1 - LEAVE_GAIN
-        w = a.server
-        w.pending.remove(a)
-        self.health.attempt_succeeded(w, now)
+        attempt.streaming, attempt.ttft, request.state_reader = True, event.latency, None
+        self.leaving_share[request.tenant] *= 1 - LEAVE_GAIN
+        worker = attempt.server
+        worker.pending.remove(attempt)
+        self.health.attempt_succeeded(worker, now)
         self._learn_wait(
-            w, max(0.0, ev.latency - a.fresh_tokens * self.paces.by_role[w.role]), now, a.expected_wait
+            worker,
+            max(0.0, event.latency - attempt.fresh_tokens * self.paces.by_role[worker.role]),
+            now,
+            attempt.queue_wait,
         )
-        if a.backlog_mark:  # a whole turn
-            w.backlog.read_ended(a.backlog_mark, ev.latency, a.expected_read_time, now)
-        w.floor = min(ev.latency, w.floor * 1.01)
-        if ev.latency > max(SLOW_START_MIN, SLOW_START_TOKEN * w.floor):
-            self.room.lower_limit(w)
+        if attempt.backlog_mark:  # the attempt included the read, at a mixed server
+            worker.backlog.read_ended(attempt.backlog_mark, event.latency, attempt.expected_read_time, now)
+        worker.floor = min(event.latency, worker.floor * 1.01)
+        if event.latency > max(SLOW_TOKEN_MIN_S, SLOW_TOKEN_FACTOR * worker.floor):
+            self.room.lower_limit(worker)
         else:
-            self.room.raise_limit(w)
+            self.room.raise_limit(worker)
 
-    def _ended(self, ev: i.AttemptEnded, now: float) -> None:
-        req, a = self._attempt(ev.id, ev.attempt)
-        if req is None or a is None or not a.live:
+    def _attempt_ended(self, event: AttemptEnded, now: float) -> None:
+        """Learn from the outcome of an attempt, and go on with its request."""
+        request, attempt = self._find_attempt(event.id, event.attempt)
+        if request is None or attempt is None or not attempt.live:
             return
-        w, a.live, a.outcome = a.server, False, ev.outcome
-        w.remove_attempt(a)
+        worker, attempt.live, attempt.outcome = attempt.server, False, event.outcome
+        worker.remove_attempt(attempt)
         self.attempts_in_flight -= 1
-        self.reads_in_flight -= a.read_only
-        self.room.streams[w.role] -= not a.read_only
-        self._heard(w, ev.load, now)
-        if ev.outcome in (i.Outcome.READ, i.Outcome.OK):
-            self.health.attempt_succeeded(w, now)
-            self._read_done(req, a, ev, now) if ev.outcome is i.Outcome.READ else self._served(req, a, ev)
-        elif ev.outcome is i.Outcome.FULL:
-            w.life = now
-            if ev.note == 1:  # it may be cut off and not gone, and would stay pinned at its reader
-                self.actions.append(i.ReleaseState(ev.id))
-                req.state_reader = None
+        self.reads_in_flight -= attempt.read_only
+        self.room.streams[worker.role] -= not attempt.read_only
+        self._record_load(worker, event.load, now)
+        if event.outcome in (Outcome.READ, Outcome.OK):
+            self.health.attempt_succeeded(worker, now)
+            self._read_ended(
+                request, attempt, event, now
+            ) if event.outcome is Outcome.READ else self._answered(request, attempt, event)
+        elif event.outcome is Outcome.FULL:
+            worker.life = now
+            if event.note == 1:  # the writer may be cut off from a state that still occupies its reader
+                self.actions.append(interface.ReleaseState(event.id))
+                request.state_reader = None
             else:
-                self.room.lower_limit(w)
-        elif ev.outcome is i.Outcome.TIMED_OUT and w.life > a.sent_at and not a.streaming:
-            self._learn_wait(w, ev.latency, now, a.expected_wait)  # slow, not silent: others were answered
-        elif ev.outcome not in (i.Outcome.CANCELED, i.Outcome.NOT_SENT):
-            still = a.streaming and ev.outcome is i.Outcome.TIMED_OUT
-            if self.health.attempt_failed(w, now):  # what waits on one that cannot be reached stands still
-                self._eject(w, now, silent=still or ev.outcome is i.Outcome.UNREACHABLE)
-            if ev.outcome in (i.Outcome.UNREACHABLE, i.Outcome.TIMED_OUT) and not a.streaming:
-                self.zones.attempt_unanswered(w.info.zone, w.info.id, ev.latency, now)
-            if ev.outcome is i.Outcome.TIMED_OUT and not a.streaming:
-                self._tell_wait(w, ev.latency - a.expected_wait, now)
-            if ev.outcome is i.Outcome.FAILED and (word := self.gossip.failure_message(w.info.id, now)):
-                self.actions.append(i.Tell(word))
-        if ev.outcome is i.Outcome.CANCELED and not a.streaming:  # it would have waited longer still
-            self._learn_wait(w, max(ev.latency, self.waits.of_server(w, now)), now, a.expected_wait)
-        if ev.outcome not in (i.Outcome.UNREACHABLE, i.Outcome.NOT_SENT):  # these have reached nobody
-            req.state_since = now
-        req.done = req.done or ev.closed
-        if req.done:
-            self._drop(req)
-        elif ev.outcome is not i.Outcome.OK and not req.in_flight:
-            self._further(req, now)
-
-    def _read_done(self, req: Request, a: Attempt, ev: i.AttemptEnded, now: float) -> None:
-        w = a.server
-        fresh = max(0.0, req.arrival.prompt_tokens - ev.note)
-        self.paces.learn(w.role, fresh, ev.latency)
-        self.mean_prompt_tokens += SLOW_GAIN * (req.arrival.prompt_tokens - self.mean_prompt_tokens)
+                self.room.lower_limit(worker)
+        elif event.outcome is Outcome.TIMED_OUT and worker.life > attempt.sent_at and not attempt.streaming:
+            self._learn_wait(worker, event.latency, now, attempt.queue_wait)  # slow; it has answered others
+        elif event.outcome not in (Outcome.CANCELED, Outcome.NOT_SENT):
+            stalled = attempt.streaming and event.outcome is Outcome.TIMED_OUT
+            if self.health.attempt_failed(worker, now):  # attempts at an unreachable server make no progress
+                self._eject(worker, now, silent=stalled or event.outcome is Outcome.UNREACHABLE)
+            if event.outcome in (Outcome.UNREACHABLE, Outcome.TIMED_OUT) and not attempt.streaming:
+                self.zones.attempt_unanswered(worker.info.zone, worker.info.id, event.latency, now)
+            if event.outcome is Outcome.TIMED_OUT and not attempt.streaming:
+                self._gossip_wait(worker, event.latency - attempt.queue_wait, now)
+            if event.outcome is Outcome.FAILED and (data := self.gossip.failure_message(worker.info.id, now)):
+                self.actions.append(Tell(data))
+        if event.outcome is Outcome.CANCELED and not attempt.streaming:  # the wait was cut short
+            self._learn_wait(
+                worker, max(event.latency, self.waits.of_server(worker, now)), now, attempt.queue_wait
+            )
+        if event.outcome not in (Outcome.UNREACHABLE, Outcome.NOT_SENT):  # those have reached no server
+            request.state_since = now
+        request.done = request.done or event.closed
+        if request.done:
+            self._drop(request)
+        elif event.outcome is not Outcome.OK and not request.in_flight:
+            self._send_next(request, now)
+
+    def _read_ended(self, request: Request, attempt: Attempt, event: AttemptEnded, now: float) -> None:
+        """Learn from a finished read: the pace, the wait, the backlog and how much the server had cached."""
+        worker = attempt.server
+        fresh = max(0.0, request.event.prompt_tokens - event.note)
+        self.paces.learn(worker.role, fresh, event.latency)
+        self.mean_prompt_tokens += SLOW_GAIN * (request.event.prompt_tokens - self.mean_prompt_tokens)
         self.mean_fresh_tokens += SLOW_GAIN * (fresh - self.mean_fresh_tokens)
-        self._learn_wait(w, max(0.0, ev.latency - fresh * self.paces.by_role[w.role]), now, a.expected_wait)
-        expected = a.expected_wait + fresh * self.paces.by_role[w.role] * w.backlog.slowdown(now)
-        w.backlog.read_ended(a.backlog_mark, ev.latency, expected, now)
-        kept = (
-            req.arrival.prompt_tokens - a.fresh_tokens
-        ) / w.hit  # what it should have kept; a flush shows here
-        if kept > 0:
-            w.hit += GAIN * (min(1.0, ev.note / kept) - w.hit)
-        req.state_reader = w
-        self._remember(req, w, now)
-
-    def _learn_wait(self, w: Worker, sample: float, now: float, believed: float = 0.0) -> None:
-        self._tell_wait(w, self.waits.learn(w, sample, now, believed), now)
-
-    def _tell_wait(self, w: Worker, wait: float, now: float) -> None:
-        if self.waits.is_outlier(w, wait, now) and (word := self.gossip.slow_message(w.info.id, wait, now)):
-            self.actions.append(i.Tell(word))
-
-    def _remember(self, req: Request, w: Worker, now: float) -> None:
-        session = self.sessions.pop(req.arrival.session, None) or Session()  # kept in the order of last use
-        session.reader, session.prompt, session.at = w.info.id, req.arrival.prompt_tokens, now
-        self.sessions[req.arrival.session] = session
+        self._learn_wait(
+            worker, max(0.0, event.latency - fresh * self.paces.by_role[worker.role]), now, attempt.queue_wait
+        )
+        expected = attempt.queue_wait + fresh * self.paces.by_role[worker.role] * worker.backlog.slowdown(now)
+        worker.backlog.read_ended(attempt.backlog_mark, event.latency, expected, now)
+        cached = (request.event.prompt_tokens - attempt.fresh_tokens) / worker.hit  # less after a flush
+        if cached > 0:
+            worker.hit += GAIN * (min(1.0, event.note / cached) - worker.hit)
+        request.state_reader = worker
+        self._record_read(request, worker, now)
+
+    def _learn_wait(self, worker: Worker, sample: float, now: float, expected: float = 0.0) -> None:
+        self._gossip_wait(worker, self.waits.learn(worker, sample, now, expected), now)
+
+    def _gossip_wait(self, worker: Worker, wait: float, now: float) -> None:
+        """Send a server's wait to the other routers if it is an outlier of its role."""
+        if self.waits.is_outlier(worker, wait, now) and (
+            data := self.gossip.slow_message(worker.info.id, wait, now)
+        ):
+            self.actions.append(Tell(data))
+
+    def _record_read(self, request: Request, worker: Worker, now: float) -> None:
+        """Remember which server now has the session's prompt and the prefix cached."""
+        session = self.sessions.pop(request.event.session, None) or Session()
+        session.reader, session.prompt, session.at = worker.info.id, request.event.prompt_tokens, now
+        self.sessions[request.event.session] = session
         self.prefix_cache.record_use(
-            w.info.id, short_tag(req.arrival.prefix) if req.arrival.prefix else NO_PREFIX, now
+            worker.info.id, short_tag(request.event.prefix) if request.event.prefix else NO_PREFIX, now
         )
 
-    def _served(self, req: Request, a: Attempt, ev: i.AttemptEnded) -> None:
-        stream = max(0.0, ev.latency - a.first_token_time)
-        if a.fresh_tokens:  # only its end tells what was kept there: of other routers' turns, too
-            self.paces.learn(a.server.role, max(0.0, req.arrival.prompt_tokens - ev.note), a.first_token_time)
-        mean = self.mean_stream_time[req.arrival.cls]
-        self.mean_stream_time[req.arrival.cls] = mean = mean + SLOW_GAIN * (stream - mean) if mean else stream
-        a.server.drag += SLOW_GAIN * (min(DRAG_MAX, stream / max(mean, 1e-3)) - a.server.drag)
-        stream = min(stream, self.settings.classes[req.arrival.cls].token_aim * req.arrival.max_tokens)
-        read = sum(b.fresh_tokens for b in req.attempts if b.outcome in (i.Outcome.READ, i.Outcome.OK))
-        if session := self.sessions.get(req.arrival.session):
-            session.cst += stream + read * self.paces.by_role[i.Role.READER]
-
-    def _probed(self, ev: i.ProbeEnded, now: float) -> None:
-        if (w := self.workers.get(ev.server)) is None:
+    def _answered(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+        """Learn from a finished answer: the stream time, the server's drag and the session's service time."""
+        time = max(0.0, event.latency - attempt.ttft)
+        if attempt.fresh_tokens:  # the cached tokens, also of other routers' turns, are known only now
+            self.paces.learn(
+                attempt.server.role, max(0.0, request.event.prompt_tokens - event.note), attempt.ttft
+            )
+        mean = self.mean_stream_time[request.event.cls]
+        self.mean_stream_time[request.event.cls] = mean = mean + SLOW_GAIN * (time - mean) if mean else time
+        attempt.server.drag += SLOW_GAIN * (min(DRAG_MAX, time / max(mean, 1e-3)) - attempt.server.drag)
+        time = min(time, self.settings.classes[request.event.cls].token_aim * request.event.max_tokens)
+        read = sum(one.fresh_tokens for one in request.attempts if one.outcome in (Outcome.READ, Outcome.OK))
+        if session := self.sessions.get(request.event.session):
+            session.cst += time + read * self.paces.by_role[Role.READER]
+
+    def _probe_ended(self, event: interface.ProbeEnded, now: float) -> None:
+        if (worker := self.workers.get(event.server)) is None:
             return
-        silent = self.health.probe_ended(w, ev.ok, now)
-        if ev.ok:
-            self._heard(w, ev.load, now)
+        silent = self.health.probe_ended(worker, event.ok, now)
+        if event.ok:
+            self._record_load(worker, event.load, now)
         elif silent:
-            self._eject(w, now, silent=True)
+            self._eject(worker, now, silent=True)
 
-    def _heard(self, w: Worker, load: i.Load | None, now: float) -> None:
+    def _record_load(self, worker: Worker, load: interface.Load | None, now: float) -> None:
         if load is not None:
-            w.load, w.load_at, w.streams_at_load, w.sends_since_load = load, now, w.streams, 0
-            if w.role is i.Role.READER and self.queues_reported:
-                wait = self._reported(w) * self.paces.by_role[w.role]
-                self.waits.learn_of_role(w.role, wait, now)
-
-    def _reported(self, w: Worker) -> float:
-        """Tokens told to wait at w. A told backlog counts kept text too, so the part not kept is taken."""
-        if w.load is None:
+            worker.load, worker.load_at = load, now
+            worker.streams_at_load, worker.sends_since_load = worker.streams, 0
+            if worker.role is Role.READER and self.queues_reported:
+                wait = self._queue_size(worker) * self.paces.by_role[worker.role]
+                self.waits.learn_of_role(worker.role, wait, now)
+
+    def _queue_size(self, worker: Worker) -> float:
+        """Fresh tokens reported to be queued: a share of the backlog, as that includes cached ones."""
+        if worker.load is None:
             return 0.0
         share = self.mean_fresh_tokens / max(self.mean_prompt_tokens, self.mean_fresh_tokens, 1.0)
-        return max((w.load.backlog_tokens or 0.0) * share, (w.load.queued or 0.0) * self.mean_fresh_tokens)
+        return max(
+            (worker.load.backlog_tokens or 0.0) * share, (worker.load.queued or 0.0) * self.mean_fresh_tokens
+        )
 
-    def _eject(self, w: Worker, now: float, silent: bool) -> None:
-        if not self.health.eject(w, self._peers(w), now):
+    def _eject(self, worker: Worker, now: float, silent: bool) -> None:
+        """Leave a server out for a while; from a silent one, cancel what waits and move some streams."""
+        if not self.health.eject(worker, self._peers(worker), now):
             return
-        self.actions.append(i.Log(f"eject {w.info.id} {'silent' if silent else 'failing'} at {now:.1f}"))
-        if not silent:
+        self.actions.append(Log(f"eject {worker.info.id} {'silent' if silent else 'failing'} at {now:.1f}"))
+        if not silent:  # at a silent server, attempts would run into timeouts, and streams make no progress
             return
-        # What waits there would run into its time-outs; streams there stand still.
         moves = max(1, int(MOVE_SHARE * sum(self.room.streams.values()))) if self.settings.may_resume else 0
-        for req in list(self.requests.values()):
-            for n, a in enumerate(req.attempts):
-                if a.server is w and a.live and a.streaming and moves > 0:
+        for request in list(self.requests.values()):
+            for number, attempt in enumerate(request.attempts):
+                if attempt.server is worker and attempt.live and attempt.streaming and moves > 0:
                     moves -= 1
-                    self.actions.append(i.MoveStream(req.arrival.id))
+                    self.actions.append(interface.MoveStream(request.event.id))
                 elif (
-                    a.server is w
-                    and a.live
-                    and not a.streaming
+                    attempt.server is worker
+                    and attempt.live
+                    and not attempt.streaming
                     and self.settings.may_cancel
-                    and (a.read_only or self.settings.classes[req.arrival.cls].effect is i.Effect.SAFE)
+                    and (attempt.read_only or self.settings.classes[request.event.cls].effect is Effect.SAFE)
                 ):
-                    self.actions.append(i.CancelAttempt(req.arrival.id, n))
+                    self.actions.append(interface.CancelAttempt(request.event.id, number))
 
-    def _usable(self, w: Worker, now: float, req: Request | None = None) -> bool:
-        if w.known_usable:
+    def _usable(self, worker: Worker, now: float, request: Request | None = None) -> bool:
+        """Whether a server may be sent to; a cold one only within its budget, if it is for a request."""
+        if worker.known_usable:
             return True
-        if not self.health.usable(w, now):
+        if not self.health.usable(worker, now):
             return False
-        if not self.slow_start.is_cold(w, now):
-            w.known_usable = not w.trial
+        if not self.slow_start.is_cold(worker, now):
+            worker.known_usable = not worker.trial
             return True
-        return req is None or self.slow_start.has_budget(w, self._peers(w), now)
+        return request is None or self.slow_start.has_budget(worker, self._peers(worker), now)
 
-    def _peers(self, w: Worker) -> list[Worker]:
-        return self.fleet.running[w.role]
+    def _peers(self, worker: Worker) -> list[Worker]:
+        return self.fleet.running[worker.role]
 
-    def pool(self, role: i.Role, now: float, req: Request | None = None) -> list[Worker]:
+    def pool(self, role: Role, now: float, request: Request | None = None) -> list[Worker]:
+        """A role's usable servers; for a request those it has not tried, for an unsafe one no suspects."""
         pool = self.fleet.running[role]
-        if req is not None and req.attempts:
-            tried = [a.server for a in req.attempts]
-            pool = [w for w in pool if w not in tried]
-        pool = [w for w in pool if w.known_usable or self._usable(w, now, req)]
-        if cut_off := self.zones.unreachable(now):
-            pool = [w for w in pool if w.info.zone not in cut_off] or pool
-        if req is not None and self.settings.classes[req.arrival.cls].effect is i.Effect.UNSAFE:
+        if request is not None and request.attempts:
+            tried = [attempt.server for attempt in request.attempts]
+            pool = [worker for worker in pool if worker not in tried]
+        pool = [worker for worker in pool if worker.known_usable or self._usable(worker, now, request)]
+        if unreachable := self.zones.unreachable(now):
+            pool = [worker for worker in pool if worker.info.zone not in unreachable] or pool
+        if request is not None and self.settings.classes[request.event.cls].effect is Effect.UNSAFE:
             return self.health.without_suspects(pool, now) or pool
         return pool
 
-    def _weight(self, req: Request) -> float:
-        """A send's work against the mean over classes."""
-        seen = [t for t in self.mean_class_tokens if t > 0]
-        return max(1.0, self.mean_class_tokens[req.arrival.cls] * len(seen) / sum(seen)) if seen else 1.0
+    def _work_weight(self, request: Request) -> float:
+        """A send's work as a multiple of the mean over classes, at least 1."""
+        seen = [tokens for tokens in self.mean_class_tokens if tokens > 0]
+        return max(1.0, self.mean_class_tokens[request.event.cls] * len(seen) / sum(seen)) if seen else 1.0
 
-    def _free(self, role: i.Role, now: float) -> float:
+    def _room(self, role: Role, now: float) -> float:
         return self.room.smoothed(role, self.pool(role, now), now)
 
-    def _pump(self, now: float) -> None:
+    def _admit_held(self, now: float) -> None:
+        """Admit held requests while there is room for their streams."""
         if not self.queue.count:
             return self.queue.compact()
-        free = {
-            True: self._free(i.Role.MIXED, now),
-            False: self._free(i.Role.WRITER, now) - self.reads_in_flight,
-        }
+        free = {True: self._room(Role.MIXED, now), False: self._room(Role.WRITER, now) - self.reads_in_flight}
         self.room.mark_smoothed(now)
-        # Reading slows mixed servers' answers, so it is held to a part of their time, all taken together.
-        both = self.fleet.by_role[i.Role.MIXED]
-        reads = self.read_load[i.Role.MIXED].decayed(now, WORK_RATE_TIME_CONSTANT_S) * self.settings.instances
-        if both and self.waits.uses_backlog(both[0]):
-            reads = sum(w.backlog.read_share(now) for w in both)
-        busy = reads / max(1, self.topology.running[i.Role.MIXED])
-        free[True] *= max(0.0, 1 - busy / READ_SHARE)
+        # Reads slow the answers of mixed servers, so all routers' reads are held to a share of their time.
+        mixed_servers = self.fleet.by_role[Role.MIXED]
+        reads = self.read_load[Role.MIXED].decayed(now, WORK_RATE_TIME_CONSTANT_S) * self.settings.instances
+        if mixed_servers and self.waits.uses_backlog(mixed_servers[0]):
+            reads = sum(worker.backlog.read_share(now) for worker in mixed_servers)
+        busy = reads / max(1, self.topology.running[Role.MIXED])
+        free[True] *= max(0.0, 1 - busy / MIXED_READ_SHARE)
         idle = not self.attempts_in_flight
-        # Part of a place is given by chance, else what is too little for each router stays unused.
+        # A random threshold, for room of less than one stream at each of many routers would stay unused.
         while self.queue.count and (idle or max(free.values()) >= self.admission_threshold):
             self.admission_threshold = self.random.random()
-            mixed = self._route(self.queue.pop(now), free, now)
+            mixed = self._dispatch(self.queue.pop(now), free, now)
             if mixed is not None:
                 free[mixed] -= 1
                 idle = False
 
-    def _route(self, req: Request, free: dict[bool, float], now: float) -> bool | None:
-        room, last = {m: max(0.0, free[m]) for m in free}, self._last(req)
+    def _dispatch(self, request: Request, free: dict[bool, float], now: float) -> bool | None:
+        """Send a request to a reader or a mixed server; returns whether mixed, or None if it is rejected."""
+        room, last = {kind: max(0.0, free[kind]) for kind in free}, self._last_reader(request)
         first = self.random.random() * (room[True] + room[False]) < room[True]
-        if last is not None and room[last.role is i.Role.MIXED] > 0:
-            first = last.role is i.Role.MIXED
-        ways = []
+        if last is not None and room[last.role is Role.MIXED] > 0:
+            first = last.role is Role.MIXED
+        choices = []
         for mixed in (first, not first) if room[not first] > 0 else (first,):
-            w, part = self._reader(req, mixed, req.first_token_due, now)
-            ways += [(part, w)] if w is not None else []
-            if part <= COMFORT:
+            worker, share = self._reader(request, mixed, request.first_token_due, now)
+            choices += [(share, worker)] if worker is not None else []
+            if share <= ACCEPT_SHARE:
                 break
-        if not ways:
+        if not choices:
             self.paces.lower_if_uncertain()
-            self._finish(req, "no reader in time")
+            self._reject(request, "no reader in time")
             return None
-        w = min(ways, key=lambda way: way[0])[1]
-        self._send(req, w, now, read=w.role is i.Role.READER)
-        return w.role is i.Role.MIXED
+        worker = min(choices, key=lambda choice: choice[0])[1]
+        self._send(request, worker, now, read=worker.role is Role.READER)
+        return worker.role is Role.MIXED
 
-    def _last(self, req: Request) -> Worker | None:
-        session = self.sessions.get(req.arrival.session)
+    def _last_reader(self, request: Request) -> Worker | None:
+        session = self.sessions.get(request.event.session)
         return self.workers.get(session.reader) if session and session.reader is not None else None
 
-    def _fresh_tokens(self, req: Request, w: Worker) -> float:
-        return self._fresh_at_each(req, (w,))[0]
+    def _fresh_tokens(self, request: Request, worker: Worker) -> float:
+        """The prompt's tokens that a server does not have cached and would have to read."""
+        return self._fresh_at_each(request, (worker,))[0]
 
-    def _fresh_at_each(self, req: Request, pool: Sequence[Worker]) -> list[float]:
-        """The prompt's tokens that each of them would have to read, for it does not keep them."""
-        session, prompt = self.sessions.get(req.arrival.session), req.arrival.prompt_tokens
+    def _fresh_at_each(self, request: Request, pool: Sequence[Worker]) -> list[float]:
+        session, prompt = self.sessions.get(request.event.session), request.event.prompt_tokens
         last = session.reader if session is not None else None
-        text, kept_texts = self.prefix_cache.tag_of(req.arrival.prefix), self.prefix_cache.uses
+        tag, uses = self.prefix_cache.tag_of(request.event.prefix), self.prefix_cache.uses
         fresh = []
-        for w in pool:
-            number, kept = w.info.id, 0.0
+        for worker in pool:
+            number, cached = worker.info.id, 0.0
             if session is not None and number == last:
-                kept = min(session.prompt, prompt)
-            elif text is not None and (number, text) in kept_texts:
-                kept = req.arrival.prefix_tokens
-            fresh.append(max(0.0, prompt - kept * w.hit))
+                cached = min(session.prompt, prompt)
+            elif tag is not None and (number, tag) in uses:
+                cached = request.event.prefix_tokens
+            fresh.append(max(0.0, prompt - cached * worker.hit))
         return fresh
 
-    def _expected(self, w: Worker, fresh: float, now: float) -> float:
-        """Time until w has read so many tokens: its queue, from what we have, saw or were told, and the
-        read."""
-        pace = self.paces.by_role[w.role]
-        own = sum(a.fresh_tokens for a in w.pending) * pace
-        age = w.longest_wait(now) - (w.pending[0].fresh_tokens * pace if w.pending else 0.0)
-        wait = max(own, age, self.waits.of_server(w, now))
-        if self.waits.uses_backlog(w):
-            pace *= w.backlog.slowdown(now)
-        elif w.load is not None and now - w.load_at < REPORT_TTL:
-            wait = max(wait, self._reported(w) * pace * math.exp((w.load_at - now) / WAIT_DECAY))
+    def _expected_read_time(self, worker: Worker, fresh: float, now: float) -> float:
+        """Seconds until a server has read its queue (as sent, observed or reported) and so many tokens."""
+        pace = self.paces.by_role[worker.role]
+        own = sum(attempt.fresh_tokens for attempt in worker.pending) * pace
+        age = worker.longest_wait(now) - (worker.pending[0].fresh_tokens * pace if worker.pending else 0.0)
+        wait = max(own, age, self.waits.of_server(worker, now))
+        if self.waits.uses_backlog(worker):
+            pace *= worker.backlog.slowdown(now)
+        elif worker.load is not None and now - worker.load_at < REPORT_TTL:
+            wait = max(wait, self._queue_size(worker) * pace * math.exp((worker.load_at - now) / WAIT_DECAY))
         return wait + fresh * pace
 
-    def _reader(self, req: Request, mixed: bool, limit: float, now: float) -> tuple[Worker | None, float]:
-        """The session's last reader, else the hashed home, else the next in hash order; one over LOAD_BOUND
-        times the median of our reads is passed over. Departure: so is one whose read takes over COMFORT of
-        the time left, for the quickest of its homes and SPARE_HOMES more; elsewhere it would be read anew."""
-        pool = self.pool(i.Role.MIXED if mixed else i.Role.READER, now, req)
-        if mixed:  # a beginning's home must not fill past its own room: its answers would crawl (i63487d)
+    def _reader(self, request: Request, mixed: bool, due: float, now: float) -> tuple[Worker | None, float]:
+        """The reader for a turn, and the share of the time until `due` that its read is expected to take.
+
+        The session's last reader, else its home, else the next in hash order, none above READ_BOUND.
+        Departure: if all take over ACCEPT_SHARE, the fastest candidate, as others would read it all anew."""
+        pool = self.pool(Role.MIXED if mixed else Role.READER, now, request)
+        if mixed:  # a home must not take reads beyond its room, which would slow all its answers
             pool = self.room.with_room(pool, now) or pool
         if not pool:
             return None, math.inf
-        told = self.waits.uses_backlog(pool[0]) and self.waits.meets_servers_rarely(
-            self.topology.running[i.Role.READER] + self.topology.running[i.Role.MIXED]
+        backlogs = self.waits.uses_backlog(pool[0]) and self.waits.meets_servers_rarely(
+            self.topology.running[Role.READER] + self.topology.running[Role.MIXED]
+        )
+        pool = self._candidates(request, pool, BACKLOG_SPARE_HOMES if backlogs else SPARE_HOMES, now)
+        fetch = 0.0 if mixed else self.waits.of_role(Role.WRITER, now)
+        margin = BACKLOG_AIM_MARGIN if backlogs else AIM_MARGIN
+        left = (min((due - now) * margin, request.deadline - now) - fetch) * (
+            1 - OVER_QUOTA_MARGIN * request.over_quota
         )
-        pool = self._near(req, pool, TOLD_SPARE if told else SPARE_HOMES, now)
-        fetch = 0.0 if mixed else self.waits.of_role(i.Role.WRITER, now)
-        margin = TOLD_MARGIN if told else AIM_MARGIN
-        left = (min((limit - now) * margin, req.deadline - now) - fetch) * (1 - OVER_MARGIN * req.over_quota)
-        fresh = self._fresh_at_each(req, pool)
-        expected = [self._expected(w, tokens, now) for w, tokens in zip(pool, fresh, strict=True)]
-        # The margin is for the wait, a guess; a read that is held to it refuses the longest first.
+        fresh = self._fresh_at_each(request, pool)
+        expected = [self._expected_read_time(w, tokens, now) for w, tokens in zip(pool, fresh, strict=True)]
+        # The margin is for the uncertain wait only; applied to reads, it would refuse long prompts first.
         pace = self.paces.by_role[pool[0].role]
         reads = [tokens * pace * w.backlog.slowdown(now) for w, tokens in zip(pool, fresh, strict=True)]
-        fit = [n for n, wait in enumerate(expected) if wait - reads[n] * (1 - margin) <= left]
-        if told:  # departure: the least cost among them, for what all know together is no guess
-            cost = {n: expected[n] + OTHERS * reads[n] for n in fit}
-            best = min(fit, key=cost.__getitem__, default=-1)
-            return (pool[best], expected[best] / left) if fit and left > 0 else (None, math.inf)
-        loads = [w.streams if mixed else w.reads for w in pool]
-        bound = LOAD_BOUND * max(1.0, median(loads))
-        for w, wait, load in zip(pool, expected, loads, strict=True):
-            if wait <= COMFORT * left and load <= bound:
-                return w, wait / left if left > 0 else 0.0
+        in_time = [n for n, wait in enumerate(expected) if wait - reads[n] * (1 - margin) <= left]
+        if backlogs:  # departure: the lowest cost, as the backlogs that all routers share are reliable
+            cost = {n: expected[n] + READ_COST_WEIGHT * reads[n] for n in in_time}
+            best = min(in_time, key=cost.__getitem__, default=-1)
+            return (pool[best], expected[best] / left) if in_time and left > 0 else (None, math.inf)
+        loads = [worker.streams if mixed else worker.reads for worker in pool]
+        bound = READ_BOUND * max(1.0, median(loads))
+        for worker, wait, load in zip(pool, expected, loads, strict=True):
+            if wait <= ACCEPT_SHARE * left and load <= bound:
+                return worker, wait / left if left > 0 else 0.0
         best = min(range(len(pool)), key=expected.__getitem__)
-        may = best in fit and expected[best] > 0 and left > 0
-        return (pool[best], expected[best] / left) if may else (None, math.inf)
-
-    def _near(self, req: Request, pool: list[Worker], spare: int, now: float) -> list[Worker]:
-        """The session's last reader, then its beginning's homes and so many more, in hash order."""
-        self._weigh_homes()
-        last, usable = self._last(req), {w.info.id: w for w in pool}
-        order = self.home_orders[pool[0].role].order(req.arrival.prefix or req.arrival.session)
-        homes = self.popularity.home_count(req.arrival.prefix, len(pool), now)
-        near = list(islice((usable[n] for n in order if n in usable), homes + spare))
-        near[:homes] = sorted(
-            near[:homes], key=lambda w: rendezvous_score(req.arrival.session, w.info.id), reverse=True
+        usable = best in in_time and expected[best] > 0 and left > 0
+        return (pool[best], expected[best] / left) if usable else (None, math.inf)
+
+    def _candidates(self, request: Request, pool: list[Worker], spare: int, now: float) -> list[Worker]:
+        """The session's last reader, then its prefix's homes and `spare` more, in hash order."""
+        self._refresh_home_weights()
+        last, usable = self._last_reader(request), {worker.info.id: worker for worker in pool}
+        order = self.home_orders[pool[0].role].order(request.event.prefix or request.event.session)
+        homes = self.popularity.home_count(request.event.prefix, len(pool), now)
+        found = list(islice((usable[number] for number in order if number in usable), homes + spare))
+        found[:homes] = sorted(
+            found[:homes], key=lambda w: rendezvous_score(request.event.session, w.info.id), reverse=True
         )
         if last is not None and last.info.id in usable:
-            near = [last, *(w for w in near if w is not last)]
-        return near
-
-    def _pair(self, req: Request, home: Worker | None, now: float) -> list[Worker]:
-        """Two random writers for a state at home. Departure: from its cell, then zone, as links are slow and
-        paid for; but only as large a part as the place has of all writers, the rest by chance where there are
-        more. Guards against full near writers when few waits are seen; from the list alone, so it adds up."""
-        pool = self.pool(i.Role.WRITER, now, req) or self.pool(i.Role.MIXED, now, req)
+            found = [last, *(worker for worker in found if worker is not last)]
+        return found
+
+    def _draw_writers(self, request: Request, home: Worker | None, now: float) -> list[Worker]:
+        """Two random writers for a state at `home`. Departure: from its cell, else its zone, as links are
+        slow and cost money, but no more than the place's share of all writers, as near ones would fill up
+        unnoticed where few waits are seen. The share comes from the list alone, so all routers' add up."""
+        pool = self.pool(Role.WRITER, now, request) or self.pool(Role.MIXED, now, request)
         pool = self.room.with_room(pool, now) or pool
         if home is not None:
-            self._weigh_homes()
+            self._refresh_home_weights()
             cell, zone = self.topology.cell_balance(home), self.topology.zone_balance(home)
-            cell *= self.mean_reader_weight / self.home_orders[i.Role.READER].weights.get(home.info.id, 1.0)
+            cell *= self.mean_reader_weight / self.home_orders[Role.READER].weights.get(home.info.id, 1.0)
             draw = self.random.random()
-            inside = [w for w in pool if w.info.zone == home.info.zone]
+            in_zone = [worker for worker in pool if worker.info.zone == home.info.zone]
             if draw < cell:
-                near = [w for w in inside if w.info.cell == home.info.cell]
+                near = [worker for worker in in_zone if worker.info.cell == home.info.cell]
             elif draw < zone:
-                near = [w for w in inside if w.info.cell in self.topology.writer_heavy_cells]
+                near = [worker for worker in in_zone if worker.info.cell in self.topology.writer_heavy_cells]
             else:
-                near = [w for w in pool if w.info.zone in self.topology.writer_heavy_zones]
-            pool = near or inside or pool
+                near = [worker for worker in pool if worker.info.zone in self.topology.writer_heavy_zones]
+            pool = near or in_zone or pool
         return self.random.sample(pool, 2) if len(pool) > 1 else pool
 
-    def _writer(self, req: Request, now: float) -> Worker | None:
-        """Of two random writers the one with fewer of our streams. Departure: where load is told they are
-        drawn and probed when the read begins, and their room decides: we have hardly a stream at each."""
-        tried = [a.server for a in req.attempts]
-        two = [w for w in req.writer_pair if w not in tried and self._usable(w, now, req)]
-        two = [w for w in two if not self.health.is_suspect(w, now)]
+    def _writer(self, request: Request, now: float) -> Worker | None:
+        """Of two random writers the one with fewer of our streams. Departure: if load is reported, they were
+        drawn and probed as the read began, and free room decides: one router has few streams at each."""
+        tried = [attempt.server for attempt in request.attempts]
+        two = [w for w in request.writer_pair if w not in tried and self._usable(w, now, request)]
+        two = [worker for worker in two if not self.health.is_suspect(worker, now)]
         if len(self.room.with_room(two, now)) < 2:
-            two = self._pair(req, req.state_reader, now)
-        if self.load_reported and all(self.room.of_server(w, now) is not None for w in two):
-            return max(two, key=lambda w: self.room.of_server(w, now) or 0.0, default=None)
-        return min(two, key=lambda w: w.streams * w.drag, default=None)
-
-    def _may_send(self, req: Request, w: Worker, now: float) -> bool:
-        """The repeat rule: attempts that may have run bind where, and whether, the request may go again."""
-        if len(req.attempts) >= self.settings.max_attempts or req.in_flight:
+            two = self._draw_writers(request, request.state_reader, now)
+        if self.load_reported and all(self.room.of_server(worker, now) is not None for worker in two):
+            return max(two, key=lambda worker: self.room.of_server(worker, now) or 0.0, default=None)
+        return min(two, key=lambda worker: worker.streams * worker.drag, default=None)
+
+    def _may_send(self, request: Request, worker: Worker, now: float) -> bool:
+        """The repeat rule: attempts that may have run limit whether, and to where, a request may be sent."""
+        if len(request.attempts) >= self.settings.max_attempts or request.in_flight:
             return False
-        cls, ran = self.settings.classes[req.arrival.cls], req.possibly_run
-        if cls.effect is i.Effect.SAFE or not ran:
+        cls, ran = self.settings.classes[request.event.cls], request.possibly_run
+        if cls.effect is Effect.SAFE or not ran:
             return True
-        if cls.effect is i.Effect.UNSAFE or now - ran[0].sent_at > cls.dedup_window - ON_ITS_WAY:
+        if cls.effect is Effect.UNSAFE or now - ran[0].sent_at > cls.dedup_window - REPEAT_TRANSIT_S:
             return False
         first = ran[0].server.info
-        same = w.info.zone == first.zone if cls.group is i.Group.ZONE else w.info.cell == first.cell
-        return cls.group is i.Group.ALL or same
-
-    def _send(self, req: Request, w: Worker, now: float, read: bool) -> None:
-        fetches = w.role is i.Role.WRITER or (w.role is i.Role.MIXED and req.state_reader is not None)
-        fresh = 0.0 if fetches else self._fresh_tokens(req, w)
-        expect = self.waits.of_server(w, now)
+        same = worker.info.zone == first.zone if cls.group is Group.ZONE else worker.info.cell == first.cell
+        return cls.group is Group.ALL or same
+
+    def _send(self, request: Request, worker: Worker, now: float, read: bool) -> None:
+        """Send a request to a server, and book the attempt; `read` = a read only, at a reader."""
+        fetch = worker.role is Role.WRITER or (worker.role is Role.MIXED and request.state_reader is not None)
+        fresh = 0.0 if fetch else self._fresh_tokens(request, worker)
+        expected = self.waits.of_server(worker, now)
         if fresh or read:
-            expect = self._expected(w, self._fresh_tokens(req, w), now)
+            expected = self._expected_read_time(worker, self._fresh_tokens(request, worker), now)
         least, times = READ_TIMEOUT if read else WRITE_TIMEOUT
-        timeout = min(least + times * expect, max(0.05, req.deadline - now))
-        if req.attempts and req.attempts[-1].outcome is not i.Outcome.READ:
+        timeout = min(least + times * expected, max(0.05, request.deadline - now))
+        if request.attempts and request.attempts[-1].outcome is not Outcome.READ:
             self.retry_budget -= 1
-        a = Attempt(w, read, now, fresh, expect)
-        if not fetches:
-            work = fresh * self.paces.by_role[w.role]
-            a.expected_wait, a.backlog_mark = w.backlog.wait(now), w.backlog.add(work, now)
-            if self.waits.uses_backlog(w):
-                word = self.gossip.read_message(w.info.id, work, req.arrival.prefix, self.random.random())
-                self.actions += [i.Tell(word)] if word else []
-        req.attempts.append(a)
-        w.add_attempt(a)
+        attempt = Attempt(worker, read, now, fresh, expected)
+        if not fetch:
+            work = fresh * self.paces.by_role[worker.role]
+            attempt.queue_wait = worker.backlog.wait(now)
+            attempt.backlog_mark = worker.backlog.add(work, now)
+            if self.waits.uses_backlog(worker):
+                data = self.gossip.read_message(
+                    worker.info.id, work, request.event.prefix, self.random.random()
+                )
+                self.actions += [Tell(data)] if data else []
+        request.attempts.append(attempt)
+        worker.add_attempt(attempt)
         self.attempts_in_flight += 1
         self.reads_in_flight += read
-        self.room.streams[w.role] += not read
-        weight = self._weight(req)
-        w.work_rate.add(weight / WORK_RATE_TIME_CONSTANT_S, now, WORK_RATE_TIME_CONSTANT_S)
+        self.room.streams[worker.role] += not read
+        weight = self._work_weight(request)
+        worker.work_rate.add(weight / WORK_RATE_TIME_CONSTANT_S, now, WORK_RATE_TIME_CONSTANT_S)
         self.slow_start.invalidate()
-        w.cold_level -= weight
-        self.read_load[w.role].add(
-            fresh * self.paces.by_role[w.role] / WORK_RATE_TIME_CONSTANT_S, now, WORK_RATE_TIME_CONSTANT_S
+        worker.cold_level -= weight
+        self.read_load[worker.role].add(
+            fresh * self.paces.by_role[worker.role] / WORK_RATE_TIME_CONSTANT_S,
+            now,
+            WORK_RATE_TIME_CONSTANT_S,
         )
-        if w.role is i.Role.MIXED:
-            self._remember(req, w, now)
-        self.actions.append(i.Send(req.arrival.id, w.info.id, timeout))
+        if worker.role is Role.MIXED:
+            self._record_read(request, worker, now)
+        self.actions.append(interface.Send(request.event.id, worker.info.id, timeout))
         if read and self.load_reported:
-            req.writer_pair = self._pair(req, w, now)
-            for w in self.probes.due_among(req.writer_pair, now):
-                self._probe(w, now)
-
-    def _further(self, req: Request, now: float) -> None:
-        """A released request with nothing out: hand its state over, read it (again), or end it."""
-        first = req.attempts[-1].outcome is i.Outcome.READ
-        if req.deadline - now < LAST_CALL or len(req.attempts) >= self.settings.max_attempts:
-            return self._finish(req, "out of time" if req.deadline - now < LAST_CALL else "out of attempts")
+            request.writer_pair = self._draw_writers(request, worker, now)
+            for worker in self.probes.due_among(request.writer_pair, now):
+                self._probe(worker, now)
+
+    def _send_next(self, request: Request, now: float) -> None:
+        """Go on with a request that has nothing in flight: hand its state over, read it (again) or end it."""
+        first = request.attempts[-1].outcome is Outcome.READ
+        if request.deadline - now < ANSWER_TIME_S or len(request.attempts) >= self.settings.max_attempts:
+            return self._reject(
+                request, "out of time" if request.deadline - now < ANSWER_TIME_S else "out of attempts"
+            )
         if not first and self.retry_budget < 1:
-            return self._finish(req, "retry budget spent")
-        if req.state_reader is not None:
-            w = self._writer(req, now)
-            waits = now - req.state_since <= STATE_HOLD * self.settings.release_within
-            if waits and w is not None and self._may_send(req, w, now):
-                return self._send(req, w, now, read=False)
-            if waits and w is None:
-                return None  # the tick looks again while the state may wait
-            return self._finish(req, "no writer")
-        mixed = req.attempts[-1].server.role is i.Role.MIXED
-        for whole in (mixed, not mixed):
-            w = self._reader(req, whole, req.deadline, now)[0]
-            if w is not None and self._may_send(req, w, now):
-                return self._send(req, w, now, read=not whole)
-        return self._finish(req, "no second reader")
-
-    def _finish(self, req: Request, why: str, gave_way: bool = False) -> None:
-        """Answer a request that is not served: refused where trying again is harmless, else failed."""
+            return self._reject(request, "retry budget spent")
+        if request.state_reader is not None:
+            worker = self._writer(request, now)
+            may_wait = now - request.state_since <= STATE_HOLD_SHARE * self.settings.release_within
+            if may_wait and worker is not None and self._may_send(request, worker, now):
+                return self._send(request, worker, now, read=False)
+            if may_wait and worker is None:
+                return None  # the next tick tries again
+            return self._reject(request, "no writer")
+        mixed = request.attempts[-1].server.role is Role.MIXED
+        for whole in (mixed, not mixed):  # whole = the read and the answer, at a mixed server
+            worker = self._reader(request, whole, request.deadline, now)[0]
+            if worker is not None and self._may_send(request, worker, now):
+                return self._send(request, worker, now, read=not whole)
+        return self._reject(request, "no second reader")
+
+    def _reject(self, request: Request, why: str, gave_way: bool = False) -> None:
+        """End a request that is not served: refuse it if the client may safely try again, else fail it."""
         self.unserved_counts[why] = self.unserved_counts.get(why, 0) + 1
         if self._explain is not None:
-            self._explain(req.arrival.id, why)
-        self.leaving_share[req.tenant] *= 1 - LEAVE_FADE  # a bounded aim must not keep itself up
-        cls = self.settings.classes[req.arrival.cls]
+            self._explain(request.event.id, why)
+        self.leaving_share[request.tenant] *= 1 - LEAVE_FADE  # else a bounded aim would keep itself in force
+        cls = self.settings.classes[request.event.cls]
         if (
-            not req.possibly_run
-            or cls.effect is i.Effect.SAFE
-            or (cls.effect, cls.group) == (i.Effect.KEYED, i.Group.ALL)
+            not request.possibly_run
+            or cls.effect is Effect.SAFE
+            or (cls.effect, cls.group) == (Effect.KEYED, Group.ALL)
         ):
-            after = min(self.random.uniform(*RETRY_AFTER), self.settings.max_retry_after)
-            if (
-                self.service_level.name
-            ):  # spread below the longest that clients follow, later at a worse level
-                least, most = self.service_level.retry_after
+            after = min(self.random.uniform(*RETRY_AFTER_S), self.settings.max_retry_after)
+            if self.level.name:  # spread retries below the longest advice that clients follow
+                least, most = self.level.retry_after
                 after = self.random.uniform(least / most, 1.0) * min(most, self.settings.max_retry_after)
             self.actions.append(
-                i.Refuse(req.arrival.id, after if self.settings.retry_advice else 0.0, gave_way)
+                interface.Refuse(request.event.id, after if self.settings.retry_advice else 0.0, gave_way)
             )
         else:
-            self.actions.append(i.Fail(req.arrival.id))
-        self._close(req)
+            self.actions.append(interface.Fail(request.event.id))
+        self._close(request)
 
-    def _close(self, req: Request) -> None:
-        req.done = True
-        self.queue.remove(req)
+    def _close(self, request: Request) -> None:
+        """The client has its answer or has left: cancel attempts that have not begun to stream."""
+        request.done = True
+        self.queue.remove(request)
         if self.settings.may_cancel:
-            waits = [n for n, a in enumerate(req.attempts) if a.live and not a.streaming]
-            self.actions += [i.CancelAttempt(req.arrival.id, n) for n in waits]
-        self._drop(req)
-
-    def _drop(self, req: Request) -> None:
-        if not req.in_flight:
-            if req.state_reader is not None:
-                self.actions.append(i.ReleaseState(req.arrival.id))
-                req.state_reader = None
-            self.requests.pop(req.arrival.id, None)
-
-    def _attempt(self, rid: str, n: int) -> tuple[Request | None, Attempt | None]:
-        req = self.requests.get(rid)
-        return req, req.attempts[n] if req is not None and 0 <= n < len(req.attempts) else None
+            waiting = [n for n, a in enumerate(request.attempts) if a.live and not a.streaming]
+            self.actions += [interface.CancelAttempt(request.event.id, n) for n in waiting]
+        self._drop(request)
+
+    def _drop(self, request: Request) -> None:
+        """Release the state of a request and forget it, once none of its attempts is in flight."""
+        if not request.in_flight:
+            if request.state_reader is not None:
+                self.actions.append(interface.ReleaseState(request.event.id))
+                request.state_reader = None
+            self.requests.pop(request.event.id, None)
+
+    def _find_attempt(self, request_id: str, n: int) -> tuple[Request | None, Attempt | None]:
+        found = self.requests.get(request_id)
+        return found, found.attempts[n] if found is not None and 0 <= n < len(found.attempts) else None
 
     def _set_timer(self) -> None:
         self.timer_token += 1
-        self.actions.append(i.SetTimer(TICK, self.timer_token))
+        self.actions.append(interface.SetTimer(TICK_S, self.timer_token))
 
-    def _tick(self, ev: i.TimerFired, now: float) -> None:
-        if ev.token != self.timer_token:
+    def _timer_fired(self, event: interface.TimerFired, now: float) -> None:
+        if event.token != self.timer_token:
             return
         self._set_timer()
         if now >= self.resubscribe_at:
             self.resubscribe_at = math.inf
-            self.actions.append(i.Subscribe())
-        fetch = self.waits.of_role(i.Role.WRITER, now)
-        for req in list(self.requests.values()):
-            if req.held:
-                if now + fetch > min(req.first_token_due, req.deadline) - LAST_CALL:
-                    self._finish(req, "no room in time")
-            elif not req.done and not req.in_flight:
-                self._further(req, now)
-        drop_unused(self.sessions, now - SESSION_IDLE)
-        self.prefix_cache.expire(now - SESSION_IDLE)
+            self.actions.append(interface.Subscribe())
+        fetch = self.waits.of_role(Role.WRITER, now)
+        for request in list(self.requests.values()):
+            if request.held:
+                if now + fetch > min(request.first_token_due, request.deadline) - ANSWER_TIME_S:
+                    self._reject(request, "no room in time")
+            elif not request.done and not request.in_flight:
+                self._send_next(request, now)
+        drop_unused(self.sessions, now - IDLE_LIMIT_S)
+        self.prefix_cache.expire(now - IDLE_LIMIT_S)
         self.popularity.expire(now)
-        self._forget(now)
-        if self.timer_token % LOOK_EVERY == 0:
-            self._look_for_silent(now)
-        if self.unserved_counts and now - self.logged_at >= LOG_EVERY:
-            self.actions.append(i.Log("; ".join(f"{why}: {n}" for why, n in self.unserved_counts.items())))
+        self._forget_gone(now)
+        if self.timer_token % CHECK_TICKS == 0:
+            self._check_silent(now)
+        if self.unserved_counts and now - self.logged_at >= LOG_INTERVAL_S:
+            self.actions.append(Log("; ".join(f"{why}: {n}" for why, n in self.unserved_counts.items())))
             self.unserved_counts, self.logged_at = {}, now
 
-    def _forget(self, now: float) -> None:
-        """Guards against growth with ids that never come again."""
-        for n in self.fleet.remove_gone(now - i.FORGET_AFTER):
-            self.gossip.remove_server(n)
+    def _forget_gone(self, now: float) -> None:
+        """Forget servers that are gone for good, so that tables don't grow with ids that never come again."""
+        for number in self.fleet.remove_gone(now - interface.FORGET_AFTER):
+            self.gossip.remove_server(number)
         self.queue.compact()
 
-    def _look_for_silent(self, now: float) -> None:
-        """Eject writers that are silent though they may answer probes, and probe what is due."""
-        for w in self.fleet.by_role[i.Role.WRITER]:
-            if w.pending and self.health.is_silent(w, now) and self.health.exceeds_silence_limit(w, now):
-                self._eject(w, now, silent=True)
-        for w in self.probes.due(self.workers.values(), self.random, now):
-            self._probe(w, now)
-
-    def _probe(self, w: Worker, now: float) -> None:
-        if self.probes.may_probe(w):
-            w.probe_in_flight, w.probed_at = True, now
-            self.actions.append(i.Probe(w.info.id))
+    def _check_silent(self, now: float) -> None:
+        """Eject writers that are silent, though they may answer probes, and send the probes that are due."""
+        for worker in self.fleet.by_role[Role.WRITER]:
+            if (
+                worker.pending
+                and self.health.is_silent(worker, now)
+                and self.health.exceeds_silence_limit(worker, now)
+            ):
+                self._eject(worker, now, silent=True)
+        for worker in self.probes.due(self.workers.values(), self.random, now):
+            self._probe(worker, now)
+
+    def _probe(self, worker: Worker, now: float) -> None:
+        if self.probes.may_probe(worker):
+            worker.probe_in_flight, worker.probed_at = True, now
+            self.actions.append(interface.Probe(worker.info.id))
--- a/hopshed/state.py
+++ b/hopshed/state.py
@@ -1,4 +1,4 @@
-"""Plain records that the decision module keeps. No decision, table or tuned value stands here."""
+"""Records that the decision module keeps of servers, requests, attempts and sessions."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 
 
 class TokenBucket:
-    """A token bucket, full at first; rate and size are the module's."""
+    """A token bucket that starts full. Its rate and size are given with each call."""
 
     def __init__(self) -> None:
-        self.level, self.at = math.inf, 0.0
+        self.level = math.inf  # tokens
+        self.at = 0.0  # time of `level`, in seconds
 
     def take(self, rate: float, size: float, now: float) -> bool:
+        """Take a token if there is one; `rate` in tokens a second, `size` in tokens."""
         self.level = min(size, self.level + rate * (now - self.at))
         self.at = now
         enough = self.level >= 1.0
@@ -25,104 +27,130 @@
         return enough
 
 
-def drop_unused(table: dict[Any, Any], time: float) -> None:
-    """Drop the entries last used before a time; the table is in the order of last use."""
-    while table and table[key := next(iter(table))].at < time:
+def drop_unused(table: dict[Any, Any], before: float) -> None:
+    """Drop the entries last used before a time. The table must be in the order of last use."""
+    while table and table[key := next(iter(table))].at < before:
         del table[key]
 
 
 @dataclass(slots=True)
 class Session:
-    cst: float = 0.0  # critical path service time
-    reader: int | None = None  # the last one
-    prompt: float = 0.0  # tokens of its last read prompt
-    at: float = 0.0  # last use
+    """What is known of a session. It is handed over and stored under these field names."""
+
+    cst: float = 0.0  # accumulated service time, in seconds
+    reader: int | None = None  # id of the server that read its last turn
+    prompt: float = 0.0  # tokens of the last prompt that was read
+    at: float = 0.0  # time of last use
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
+    """One send of a request to one server."""
+
     server: Worker
-    read_only: bool  # a read only; else it hands a state over, or is a whole turn at a mixed server
+    read_only: bool  # at a reader; otherwise it fetches a state, or reads and answers at a mixed server
     sent_at: float
-    fresh_tokens: float  # prompt tokens it must read
-    expected_read_time: float = 0.0  # s until the prompt would be read, as believed when it was sent
-    expected_wait: float = 0.0  # the part of it that its server's queue would take, where that is known
-    backlog_mark: float = 0.0  # its place in that queue
-    first_token_time: float = 0.0  # time to the first token
-    live: bool = True
-    streaming: bool = False
+    fresh_tokens: float  # prompt tokens that the server is expected to read, as it has not cached them
+    expected_read_time: float = (
+        0.0  # seconds until the prompt was expected to be read, at the time of sending
+    )
+    queue_wait: float = (
+        0.0  # seconds of it that were expected to pass in the server's queue, if that is known
+    )
+    backlog_mark: float = 0.0  # the read's position in the server's backlog, see Backlog.add; 0 = none
+    ttft: float = 0.0  # time to the first token, in seconds
+    live: bool = True  # has not ended
+    streaming: bool = False  # its first token has come
     outcome: Outcome | None = None
 
     @property
     def may_have_run(self) -> bool:
+        """Whether the server may have begun to generate an answer."""
         return not self.read_only and not (self.outcome and self.outcome.never_ran)
 
 
 @dataclass(eq=False, slots=True)
 class Request:
-    arrival: RequestArrived
+    """A request from its arrival until it is closed and none of its attempts is in flight."""
+
+    event: RequestArrived
     tenant: int
     arrived_at: float
-    deadline: float
-    first_token_due: float
-    service_time: float = 0.0
-    over_quota: bool = False  # beyond its tenant's share
-    held: bool = True
+    deadline: float  # when the client gives up
+    first_token_due: float  # when the first token is wanted
+    service_time: float = 0.0  # its session's accumulated service time on arrival, in seconds
+    over_quota: bool = False  # beyond its tenant's quota
+    held: bool = True  # waits in the hold queue
     done: bool = False  # no answer is owed any more
-    state_reader: Worker | None = None  # the reader at which the read state waits
-    state_since: float = 0.0
-    writer_pair: list[Worker] = field(default_factory=list)  # writers drawn for it while it is read
+    state_reader: Worker | None = None  # the reader that holds the read state
+    state_since: float = 0.0  # when the state was read, or last known to be held
+    writer_pair: list[Worker] = field(default_factory=list)  # the writers drawn for it when its read began
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
     def possibly_run(self) -> list[Attempt]:
-        return [a for a in self.attempts if a.may_have_run]
+        """The attempts that may have run."""
+        return [attempt for attempt in self.attempts if attempt.may_have_run]
 
     @property
     def in_flight(self) -> bool:
-        return any(a.live for a in self.attempts)
+        """Whether any attempt has not ended."""
+        return any(attempt.live for attempt in self.attempts)
 
 
 class Worker:
     """What a router knows of one server."""
 
     def __init__(self, info: Server, role: Role, now: float, listed: float) -> None:
+        """`listed` = when the server was first listed, -inf if it was in the first list."""
         self.info, self.role = info, role
         self.listed = listed
-        self.gone_at = math.inf
-        self.reads, self.streams = 0, 0
-        self.pending: list[Attempt] = []  # ours that have not been read, or have no first token yet
+        self.gone_at = math.inf  # when the list reported it gone
+        self.reads, self.streams = 0, 0  # this router's live attempts: reads only, and all others
+        self.pending: list[Attempt] = []  # live attempts that have no first token, oldest first
         self.reset(now)
 
     def reset(self, now: float) -> None:
-        """Forget what was learnt of the process; what we have out there stays."""
-        self.load: Load | None = None
-        self.load_at, self.streams_at_load, self.sends_since_load = -math.inf, 0, 0
-        self.wait, self.wait_at, self.floor = 0.0, now, math.inf  # learnt wait; least time to a first token
-        self.limit: float | None = None  # adaptive concurrency limit
-        self.hit = 1.0  # part of the tokens that should have been kept and were
-        self.drag = 1.0  # its streams' time against the class's mean over servers
-        self.errors, self.ejected, self.ejections, self.trial = 0.0, -math.inf, 0, False
-        self.failed_at = -math.inf
-        self.life, self.probe_in_flight, self.probed_at, self.probe_failures = now, False, -math.inf, 0
-        self.cold_level, self.cold_at = 0.0, now
-        # Found running, warm, not ejected and not on trial, and nothing has changed that since.
-        self.known_usable = False
-        self.work_rate = Estimate()  # rate of requests sent there
-        self.backlog = Backlog()  # of all routers' reads there, where they tell one another
-
-    def add_attempt(self, a: Attempt) -> None:
-        self.pending.append(a)
-        self.reads += a.read_only
-        self.streams += not a.read_only
-        self.sends_since_load += not a.read_only
-
-    def remove_attempt(self, a: Attempt) -> None:
-        if a in self.pending:
-            self.pending.remove(a)
-        self.reads -= a.read_only
-        self.streams -= not a.read_only
+        """Forget what was learnt of the server's process, but not this router's live attempts."""
+        self.load: Load | None = None  # the latest load report
+        self.load_at = -math.inf  # when it came
+        self.streams_at_load = 0  # `streams` at that time
+        self.sends_since_load = 0  # streams sent since
+        self.wait, self.wait_at = 0.0, now  # learnt wait in the queue, in seconds, and when it was learnt
+        self.floor = math.inf  # shortest time to a first token, in seconds; slowly rises
+        self.limit: float | None = None  # adaptive concurrency limit, in streams; None = not yet known
+        self.hit = 1.0  # share of the tokens expected in the server's cache that were found there
+        self.drag = 1.0  # mean time of its streams as a multiple of their class's mean over all servers
+        self.errors = 0.0  # moving average of failed attempts, 0 to 1
+        self.ejected = -math.inf  # end of the latest ejection
+        self.ejections = 0  # ejections in a row
+        self.trial = False  # ejected before, and not answered since
+        self.failed_at = -math.inf  # the latest failed attempt
+        self.life = now  # the latest sign of life
+        self.probe_in_flight, self.probed_at = False, -math.inf
+        self.probe_failures = 0  # lost probes in a row
+        self.cold_level, self.cold_at = (
+            0.0,
+            now,
+        )  # slow start: tokens in the bucket, and when they were counted
+        self.known_usable = False  # found running, warm, not ejected and not on trial, with no change since
+        self.work_rate = Estimate()  # work sent there, in sends of mean work a second
+        self.backlog = Backlog()  # reads of all routers there, if they share them by gossip
+
+    def add_attempt(self, attempt: Attempt) -> None:
+        """Count an attempt that is sent to the server."""
+        self.pending.append(attempt)
+        self.reads += attempt.read_only
+        self.streams += not attempt.read_only
+        self.sends_since_load += not attempt.read_only
+
+    def remove_attempt(self, attempt: Attempt) -> None:
+        """Count an attempt that has ended."""
+        if attempt in self.pending:
+            self.pending.remove(attempt)
+        self.reads -= attempt.read_only
+        self.streams -= not attempt.read_only
 
     def longest_wait(self, now: float) -> float:
-        """Age of our longest wait here, a wait that no finished one has told of yet."""
+        """Seconds that the oldest pending attempt has waited; learnt waits don't include it yet."""
         return now - self.pending[0].sent_at if self.pending else 0.0
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -80,8 +80,8 @@
         heavy.sessions["light"] = light
         bench.now += wait
         bench.arrive("l", session="light", patience=60.0)
-    assert new.c.queue.pop(new.now).arrival.id == "l" or new.c.queue.pop(new.now).arrival.id == "l"
-    assert old.c.queue.pop(old.now).arrival.id == "h"
+    assert new.c.queue.pop(new.now).event.id == "l" or new.c.queue.pop(new.now).event.id == "l"
+    assert old.c.queue.pop(old.now).event.id == "h"
 
 
 def test_hold_that_cannot_meet_its_aim_is_refused_early():
@@ -403,7 +403,7 @@
         b.do(ProbeEnded(wid, True, 0.01, Load(memory_share=0.8)))
     b.c.room.mean_request_tokens = 1600.0
     # 100 streams at each, room for 25: a part of .75 for each router.
-    assert b.c._free(Role.WRITER, b.now) < 1.0
+    assert b.c._room(Role.WRITER, b.now) < 1.0
 
 
 def test_a_pace_from_one_slow_read_does_not_refuse_for_ever():
@@ -441,8 +441,8 @@
     fleet = (*readers, server(11, 1, cell=1), *far)
     b = Bench(fleet=fleet)
     home = b.c.workers[1]
-    near = sum(w.info.cell == 1 for _ in range(400) for w in b.c._pair(b_request(b), home, b.now))
-    drawn = sum(len(b.c._pair(b_request(b), home, b.now)) for _ in range(400))
+    near = sum(w.info.cell == 1 for _ in range(400) for w in b.c._draw_writers(b_request(b), home, b.now))
+    drawn = sum(len(b.c._draw_writers(b_request(b), home, b.now)) for _ in range(400))
     assert near / drawn < 0.5  # a quarter of the writers stand beside four fifths of the readers
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -20,8 +20,8 @@
 
 CHANGED = [
     (control, "AIM_MARGIN", 0.61),
-    (control, "COMFORT", 0.55),
-    (control, "STATE_HOLD", 0.2),
+    (control, "ACCEPT_SHARE", 0.55),
+    (control, "STATE_HOLD_SHARE", 0.2),
     (hold_queue, "LIFT", 1.0),
     (control, "RETRY_RATIO", 0.1),
     (free_room, "SMOOTHING", 0.3),
--- a/tests/test_hold_queue.py
+++ b/tests/test_hold_queue.py
@@ -18,7 +18,7 @@
 
 
 def names(queue: HoldQueue, now: float) -> list[str]:
-    return [queue.pop(now).arrival.id for _ in range(queue.count)]
+    return [queue.pop(now).event.id for _ in range(queue.count)]
 
 
 def test_the_lowest_cst_goes_first_and_equals_in_the_order_of_arrival() -> None:
@@ -52,7 +52,7 @@
             queue.remove(one)
             queue.remove(one)
         else:
-            stays.append(one.arrival.id)
+            stays.append(one.event.id)
     assert queue.count == len(stays)
     assert sorted(names(queue, NOW + wait)) == sorted(stays)
     queue.compact()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -149,41 +149,51 @@
     run(World(effect), steps)
 
 
-class Forgetful(Controller):
-    def _drop(self, req):
-        req.state_reader = None
-        super()._drop(req)
+class KeepsStates(Controller):
+    """Forgets states without releasing them."""
 
+    def _drop(self, request):
+        request.state_reader = None
+        super()._drop(request)
 
-class Mute(Controller):
-    def _tick(self, ev, now):
+
+class IgnoresTimeouts(Controller):
+    """Does nothing when its timer fires."""
+
+    def _timer_fired(self, event, now):
         self._set_timer()
 
 
-class Deaf(Controller):
-    def _listed(self, ev, now):
-        if ev.kind is not ListKind.CHANGES:
-            super()._listed(ev, now)
+class IgnoresChanges(Controller):
+    """Does not take in changes to the server list."""
+
+    def _servers_listed(self, event, now):
+        if event.kind is not ListKind.CHANGES:
+            super()._servers_listed(event, now)
 
 
-class Eager(Controller):
-    def _may_send(self, req, w, now):
+class SendsAnyway(Controller):
+    """Does not observe the repeat rule."""
+
+    def _may_send(self, request, worker, now):
         return True
 
 
-class Twice(Controller):
-    def _close(self, req):
-        self.actions.append(Refuse(req.arrival.id))
-        super()._close(req)
+class AnswersTwice(Controller):
+    """Refuses each request that it closes."""
+
+    def _close(self, request):
+        self.actions.append(Refuse(request.event.id))
+        super()._close(request)
 
 
 CASES = [
-    (Forgetful, "pinned", [("arrive", 2.0), ("gone", 0), ("end", 0, Outcome.OK), ("wait", 1.0)]),
-    (Mute, "lost", [*[("arrive", 2.0)] * 60, ("arrive", 0.3), ("wait", 1.0)]),
-    (Deaf, "draining", [*[("drain", n) for n in (0, 1, 2)], ("arrive", 2.0)]),
-    (Eager, "twice", [("arrive", 2.0), ("end", 0, Outcome.OK), ("end", 0, Outcome.FAILED)]),
+    (KeepsStates, "pinned", [("arrive", 2.0), ("gone", 0), ("end", 0, Outcome.OK), ("wait", 1.0)]),
+    (IgnoresTimeouts, "lost", [*[("arrive", 2.0)] * 60, ("arrive", 0.3), ("wait", 1.0)]),
+    (IgnoresChanges, "draining", [*[("drain", n) for n in (0, 1, 2)], ("arrive", 2.0)]),
+    (SendsAnyway, "twice", [("arrive", 2.0), ("end", 0, Outcome.OK), ("end", 0, Outcome.FAILED)]),
     (
-        Twice,
+        AnswersTwice,
         "second answer",
         [*[("drain", n) for n in range(3)], ("arrive", 2.0), ("wait", 1.0), ("wait", 1.0)],
     ),
