--- a/hopshed/backlog.py
+++ b/hopshed/backlog.py
@@ -1,10 +1,10 @@
-"""What a server that reads has before it, by what all routers say they sent there. No clock, no I/O.
+"""A server's queue of reads, computed from the reads that all routers report by gossip.
 
-One router of many sends each server a read now and then and sees its queue too rarely to know it: it
-believed the waits of a few busy servers of all the others, refused turns that idle ones would have read, and
-crowded the rest. Each router tells the others of its reads (`gossip.py`); a server reads first come, first
-served, so what was sent less the time since then is its queue. What is wrong with that (a slow server, words
-that were lost) shows when a read of our own ends, and fades.
+One of many routers sends each server a read only now and then, too rarely to know its queue from its own
+reads: a few waits at busy servers would count for all servers, idle ones would be passed over and turns
+refused, and the others would be crowded. Each router therefore reports its reads to the others (`gossip.py`).
+Servers read in the order of arrival, so the queue is what was sent, less the time since. Errors of this model
+(a slow server, lost messages) are measured when a read of our own ends, and decay.
 """
 
 from __future__ import annotations
@@ -14,64 +14,69 @@
 
 from .estimate import Estimate
 
-QUEUE_MOST = 10.0  # s; a word that is wrong, or none of a router's, makes a server passed over no longer
-RATE_MEMORY = 5.0  # s; time constant of the part of its time that a server reads
-SLOW_GAIN, SLOW_FADES, SLOW_MOST = 0.5, 10.0, 10.0  # weight of a read's time over what was expected; s; bound
-LEAST = 0.1  # s that reads may differ by for reasons that are no pace
-EXCESS_GAIN, EXCESS_FADES = 0.5, 2.0  # weight of a wait that the queue does not explain; s in which it fades
+MAX_QUEUE_S = 10.0  # bounds the effect of wrong or missing messages
+READ_RATE_TIME_CONSTANT_S = 5.0  # of the share of its time that a server reads
+SLOWDOWN_GAIN = 0.5  # weight of one read's slowdown
+SLOWDOWN_DECAY_S = 10.0  # time constant of the slowdown
+MAX_SLOWDOWN = 10.0  # upper bound of one read's slowdown
+TOLERANCE_S = 0.1  # added to both times in a slowdown, as short reads vary for other reasons
+UNEXPLAINED_GAIN = 0.5  # weight of one wait that the queue does not explain
+UNEXPLAINED_DECAY_S = 2.0  # time constant of such waits
 
 
 @dataclass(slots=True)
 class Backlog:
-    """One server's queue of reads, in s of its time."""
+    """One server's queue of reads, in seconds of its time."""
 
-    queue: float = 0.0  # at `at`, in s of a server of the common pace
+    queue: float = 0.0  # at `at`, in seconds of a server that reads at its role's pace
     at: float = -math.inf
-    total_sent: float = 0.0  # all that was ever sent
-    unexplained_wait: Estimate = field(
-        default_factory=Estimate
-    )  # what reads waited beyond the queue that was believed
-    read_rate: Estimate = field(default_factory=Estimate)
-    extra_slowdown: Estimate = field(
-        default_factory=Estimate
-    )  # how much slower than the common pace; 0 = not at all
+    total_sent: float = 0.0  # seconds of reads ever sent
+    unexplained_wait: Estimate = field(default_factory=Estimate)  # seconds that reads waited beyond the queue
+    read_rate: Estimate = field(default_factory=Estimate)  # seconds of reads sent per second
+    extra_slowdown: Estimate = field(default_factory=Estimate)  # slowdown - 1
 
     def wait(self, now: float) -> float:
-        """How long a read that is sent now has to wait."""
-        return self._remaining(now) * self.slowdown(now) + self.unexplained_wait.decayed(now, EXCESS_FADES)
+        """Seconds that a read sent now has to wait."""
+        return self._remaining(now) * self.slowdown(now) + self.unexplained_wait.decayed(
+            now, UNEXPLAINED_DECAY_S
+        )
 
     def slowdown(self, now: float) -> float:
-        """How many times the common pace's time a read takes there."""
-        return 1.0 + self.extra_slowdown.decayed(now, SLOW_FADES)
+        """The time that a read takes here as a multiple of that at its role's pace, at least 1."""
+        return 1.0 + self.extra_slowdown.decayed(now, SLOWDOWN_DECAY_S)
 
     def _remaining(self, now: float) -> float:
         return max(0.0, self.queue - (now - self.at) / self.slowdown(now)) if self.queue else 0.0
 
     def add(self, work: float, now: float) -> float:
-        """A read is sent there; returns its mark for `read`."""
-        self.queue, self.at = min(QUEUE_MOST, self._remaining(now) + work), now
+        """Add a read of `work` seconds to the queue; returns its mark, to be given to `read_ended`."""
+        self.queue, self.at = min(MAX_QUEUE_S, self._remaining(now) + work), now
         self.total_sent += work
-        self.read_rate.add(work / RATE_MEMORY, now, RATE_MEMORY)
+        self.read_rate.add(work / READ_RATE_TIME_CONSTANT_S, now, READ_RATE_TIME_CONSTANT_S)
         return self.total_sent
 
     def read_ended(self, mark: float, took: float, expected: float, now: float) -> None:
-        """A read has ended: what was sent before it has been read, what came after it has not.
-
-        `took`, `expected` = s, the latter as believed when it was sent."""
-        ratio = self.slowdown(now) * (took + LEAST) / (expected + LEAST)
-        self.extra_slowdown.learn(min(SLOW_MOST, max(1.0, ratio)) - 1.0, now, SLOW_GAIN, SLOW_FADES)
-        self.queue, self.at = min(QUEUE_MOST, self.total_sent - mark), now
-
-    def wait_observed(self, wait: float, believed: float, now: float) -> float:
-        """A read waited so long where so much was believed; returns what the queue did not explain."""
-        excess = max(0.0, wait - believed)
-        self.unexplained_wait.learn(excess, now, EXCESS_GAIN, EXCESS_FADES)
-        return excess
-
-    def wait_reported(self, excess: float, now: float) -> None:
-        """Another router waited so much longer than the queue explains."""
-        self.unexplained_wait = Estimate(max(excess, self.unexplained_wait.decayed(now, EXCESS_FADES)), now)
+        """A read has ended: the queue holds only what was sent after it.
+
+        `took` and `expected` are its seconds from sending; `expected` as computed when it was sent."""
+        slowdown = self.slowdown(now) * (took + TOLERANCE_S) / (expected + TOLERANCE_S)
+        self.extra_slowdown.learn(
+            min(MAX_SLOWDOWN, max(1.0, slowdown)) - 1.0, now, SLOWDOWN_GAIN, SLOWDOWN_DECAY_S
+        )
+        self.queue, self.at = min(MAX_QUEUE_S, self.total_sent - mark), now
+
+    def wait_observed(self, wait: float, expected: float, now: float) -> float:
+        """Take in the seconds that a read waited; returns those that the queue does not explain."""
+        unexplained = max(0.0, wait - expected)
+        self.unexplained_wait.learn(unexplained, now, UNEXPLAINED_GAIN, UNEXPLAINED_DECAY_S)
+        return unexplained
+
+    def wait_reported(self, unexplained: float, now: float) -> None:
+        """Take in unexplained seconds of waiting that another router reports."""
+        self.unexplained_wait = Estimate(
+            max(unexplained, self.unexplained_wait.decayed(now, UNEXPLAINED_DECAY_S)), now
+        )
 
     def read_share(self, now: float) -> float:
-        """The part of its time that the server spends on reading, of late."""
-        return self.read_rate.decayed(now, RATE_MEMORY)
+        """The share of its time that the server currently spends on reading."""
+        return self.read_rate.decayed(now, READ_RATE_TIME_CONSTANT_S)
--- a/hopshed/control.py
+++ b/hopshed/control.py
@@ -17,7 +17,7 @@
 from . import interface
 from .estimate import Estimate
 from .fleet import Fleet
-from .free_room import REPORT_TTL, FreeRoom
+from .free_room import REPORT_TTL_S, FreeRoom
 from .gossip import NO_PREFIX, Gossip, ReadSent, SlowServer, short_tag
 from .health import Health
 from .hold_queue import HoldQueue
@@ -25,7 +25,7 @@
 from .popularity import Popularity
 from .prefix_cache import PrefixCacheIndex
 from .probes import Probes
-from .queue_waits import WAIT_DECAY, QueueWaits
+from .queue_waits import WAIT_DECAY_S, QueueWaits
 from .quota import Quotas
 from .read_pace import ReadPaces
 from .rendezvous import Rendezvous, rendezvous_score
@@ -113,12 +113,12 @@
             interface.RequestArrived: self._request_arrived,
             interface.AttemptEnded: self._attempt_ended,
             interface.StreamStarted: self._stream_started,
-            interface.ClientGone: self._client_gone,  # cancels and drops its request
-            interface.ProbeEnded: self._probe_ended,  # takes in the load, or ejects a silent server
+            interface.ClientGone: self._client_gone,
+            interface.ProbeEnded: self._probe_ended,
             interface.ServersListed: self._servers_listed,
-            interface.TimerFired: self._timer_fired,  # does the periodic work
+            interface.TimerFired: self._timer_fired,
             interface.ServiceLevel: self._level_set,  # applies to later requests
-            interface.PeerSaid: self._peer_said,  # takes in gossip of other routers
+            interface.PeerSaid: self._peer_said,
             interface.WarmRates: self._warm_rates_given,  # takes in rates from before all servers were lost
             interface.StateReleased: self._state_released,
         }
@@ -141,6 +141,7 @@
         return self.actions
 
     def _peer_said(self, event: interface.PeerSaid, now: float) -> None:
+        """Take in a gossip message of another router."""
         try:
             message = self.gossip.receive(event.data, now)
         except ValueError as error:
@@ -227,6 +228,7 @@
         self.mean_reader_weight = sum(weights) / max(1, len(weights))
 
     def _client_gone(self, event: interface.ClientGone, now: float) -> None:
+        """Close the request of a client that has left, and count it for the share of leaving clients."""
         request = self.requests.get(event.id)
         if request is not None and not request.done:
             self.leaving_share[request.tenant] += LEAVE_GAIN * (1.0 - self.leaving_share[request.tenant])
@@ -348,9 +350,9 @@
         )
         expected = attempt.queue_wait + fresh * self.paces.by_role[worker.role] * worker.backlog.slowdown(now)
         worker.backlog.read_ended(attempt.backlog_mark, event.latency, expected, now)
-        cached = (request.event.prompt_tokens - attempt.fresh_tokens) / worker.hit  # less after a flush
-        if cached > 0:
-            worker.hit += GAIN * (min(1.0, event.note / cached) - worker.hit)
+        expected_hits = (request.event.prompt_tokens - attempt.fresh_tokens) / worker.hit
+        if expected_hits > 0:
+            worker.hit += GAIN * (min(1.0, event.note / expected_hits) - worker.hit)  # falls after a flush
         request.state_reader = worker
         self._record_read(request, worker, now)
 
@@ -389,6 +391,7 @@
             session.cst += time + read * self.paces.by_role[Role.READER]
 
     def _probe_ended(self, event: interface.ProbeEnded, now: float) -> None:
+        """Take in the load that a probe brought, or eject a server whose probes are lost."""
         if (worker := self.workers.get(event.server)) is None:
             return
         silent = self.health.probe_ended(worker, event.ok, now)
@@ -402,10 +405,10 @@
             worker.load, worker.load_at = load, now
             worker.streams_at_load, worker.sends_since_load = worker.streams, 0
             if worker.role is Role.READER and self.queues_reported:
-                wait = self._queue_size(worker) * self.paces.by_role[worker.role]
+                wait = self._queued(worker) * self.paces.by_role[worker.role]
                 self.waits.learn_of_role(worker.role, wait, now)
 
-    def _queue_size(self, worker: Worker) -> float:
+    def _queued(self, worker: Worker) -> float:
         """Fresh tokens reported to be queued: a share of the backlog, as that includes cached ones."""
         if worker.load is None:
             return 0.0
@@ -543,8 +546,8 @@
         wait = max(own, age, self.waits.of_server(worker, now))
         if self.waits.uses_backlog(worker):
             pace *= worker.backlog.slowdown(now)
-        elif worker.load is not None and now - worker.load_at < REPORT_TTL:
-            wait = max(wait, self._queue_size(worker) * pace * math.exp((worker.load_at - now) / WAIT_DECAY))
+        elif worker.load is not None and now - worker.load_at < REPORT_TTL_S:
+            wait = max(wait, self._queued(worker) * pace * math.exp((worker.load_at - now) / WAIT_DECAY_S))
         return wait + fresh * pace
 
     def _reader(self, request: Request, mixed: bool, due: float, now: float) -> tuple[Worker | None, float]:
@@ -725,7 +728,7 @@
             or (cls.effect, cls.group) == (Effect.KEYED, Group.ALL)
         ):
             after = min(self.random.uniform(*RETRY_AFTER_S), self.settings.max_retry_after)
-            if self.level.name:  # spread retries below the longest advice that clients follow
+            if self.level.name:  # spread below the longest advice that clients follow, later at worse levels
                 least, most = self.level.retry_after
                 after = self.random.uniform(least / most, 1.0) * min(most, self.settings.max_retry_after)
             self.actions.append(
@@ -761,6 +764,7 @@
         self.actions.append(interface.SetTimer(TICK_S, self.timer_token))
 
     def _timer_fired(self, event: interface.TimerFired, now: float) -> None:
+        """The periodic work: subscribing again, requests that run out of time, expiry, checks, the log."""
         if event.token != self.timer_token:
             return
         self._set_timer()
@@ -792,13 +796,9 @@
 
     def _check_silent(self, now: float) -> None:
         """Eject writers that are silent, though they may answer probes, and send the probes that are due."""
-        for worker in self.fleet.by_role[Role.WRITER]:
-            if (
-                worker.pending
-                and self.health.is_silent(worker, now)
-                and self.health.exceeds_silence_limit(worker, now)
-            ):
-                self._eject(worker, now, silent=True)
+        for w in self.fleet.by_role[Role.WRITER]:
+            if w.pending and self.health.is_silent(w, now) and self.health.exceeds_silence_limit(w, now):
+                self._eject(w, now, silent=True)
         for worker in self.probes.due(self.workers.values(), self.random, now):
             self._probe(worker, now)
 
--- a/hopshed/hold_queue.py
+++ b/hopshed/hold_queue.py
@@ -1,7 +1,8 @@
-"""Requests that are held until there is room, in the order in which they are let in. No clock, no I/O.
+"""The queue of held requests, which wait until there is room for them.
 
-The lowest accumulated service time (CST) of a session goes first. A request that has waited for long against
-its CST is lifted over all others, which bounds how long a session with much service waits.
+Requests of sessions with the lowest accumulated service time (CST) leave first. A request that has waited for
+long in proportion to its session's service time is prioritized over all others, which bounds the wait of
+sessions with much service time.
 """
 
 from __future__ import annotations
@@ -11,52 +12,63 @@
 
 from .state import Request
 
-LIFT = 4.0  # s of wait for each s of CST after which a request is lifted
-SLACK = 500  # entries of requests no longer held that may stay in the heaps
+PRIORITY_WAIT_FACTOR = 4.0  # seconds of wait for each second of service time until a request has priority
+STALE_ENTRIES = 500  # entries of requests no longer held that may stay in the heaps
 
 
 class HoldQueue:
-    """A request leaves by `pop` or `remove`; its `held` says whether it is still here."""
+    """A priority queue. A request leaves it by `pop` or `remove`; `Request.held` tells if it is held."""
 
     def __init__(self) -> None:
         self.count = 0  # requests held
-        self._by_cst: list[tuple[bool, float, int, Request]] = []
-        self._by_lift: list[tuple[float, int, Request]] = []  # never those beyond their client's quota
-        self._serial = 0  # the order of arrival, among equals
+        self._by_service_time: list[tuple[bool, float, int, Request]] = []
+        self._by_priority_time: list[tuple[float, int, Request]] = []  # without those over their quota
+        self._serial = 0  # orders equal entries by arrival
 
-    def push(self, req: Request, now: float) -> None:
-        """Hold a request; those beyond their client's quota come after all others."""
+    def push(self, request: Request, now: float) -> None:
+        """Hold a request; those over their tenant's quota come after all others."""
         self._serial += 1
         self.count += 1
-        heapq.heappush(self._by_cst, (req.over_quota, req.service_time, self._serial, req))
-        if not req.over_quota:
-            heapq.heappush(self._by_lift, (now + LIFT * req.service_time, self._serial, req))
+        heapq.heappush(
+            self._by_service_time, (request.over_quota, request.service_time, self._serial, request)
+        )
+        if not request.over_quota:
+            heapq.heappush(
+                self._by_priority_time,
+                (now + PRIORITY_WAIT_FACTOR * request.service_time, self._serial, request),
+            )
 
     def pop(self, now: float) -> Request:
-        """Take out the next request: a lifted one, else the lowest CST. Raises IndexError when empty."""
-        req = None
-        while req is None or not req.held:  # either heap still names requests that left by the other
-            lifted = self._by_lift and self._by_lift[0][0] <= now
-            req = heapq.heappop(self._by_lift)[2] if lifted else heapq.heappop(self._by_cst)[3]
-        self.remove(req)
-        return req
-
-    def remove(self, req: Request) -> None:
-        """A request is not held any longer, if it was."""
-        self.count -= req.held
-        req.held = False
+        """Take out the next request: one with priority, else the one with the lowest service time.
+
+        Raises IndexError when the queue is empty."""
+        request = None
+        while request is None or not request.held:  # each heap still has requests that left by the other
+            priority = self._by_priority_time and self._by_priority_time[0][0] <= now
+            request = (
+                heapq.heappop(self._by_priority_time)[2]
+                if priority
+                else heapq.heappop(self._by_service_time)[3]
+            )
+        self.remove(request)
+        return request
+
+    def remove(self, request: Request) -> None:
+        """Stop holding a request, if it is held."""
+        self.count -= request.held
+        request.held = False
 
     def compact(self) -> None:
-        """Drop entries of requests that are no longer held, once they are most of what is kept."""
+        """Drop the entries of requests no longer held, once they are most of all entries."""
         if not self.count:
-            self._by_cst, self._by_lift = [], []
-        elif len(self._by_cst) + len(self._by_lift) > 4 * self.count + SLACK:
-            self._by_cst = [entry for entry in self._by_cst if entry[-1].held]
-            self._by_lift = [entry for entry in self._by_lift if entry[-1].held]
-            heapq.heapify(self._by_cst)
-            heapq.heapify(self._by_lift)
+            self._by_service_time, self._by_priority_time = [], []
+        elif len(self._by_service_time) + len(self._by_priority_time) > 4 * self.count + STALE_ENTRIES:
+            self._by_service_time = [entry for entry in self._by_service_time if entry[-1].held]
+            self._by_priority_time = [entry for entry in self._by_priority_time if entry[-1].held]
+            heapq.heapify(self._by_service_time)
+            heapq.heapify(self._by_priority_time)
 
     def __iter__(self) -> Iterator[Request]:
-        """The requests that either heap names, those no longer held among them."""
-        yield from (entry[-1] for entry in self._by_cst)
-        yield from (entry[-1] for entry in self._by_lift)
+        """The requests in either heap, including those no longer held."""
+        yield from (entry[-1] for entry in self._by_service_time)
+        yield from (entry[-1] for entry in self._by_priority_time)
--- a/hopshed/quota.py
+++ b/hopshed/quota.py
@@ -1,23 +1,24 @@
-"""Clients' quotas: which turns are beyond them. The module and the levels of service ask alike."""
+"""Tenants' quotas: which turns exceed them. Used by the controller and by the levels of service."""
 
 from __future__ import annotations
 
 from .interface import Settings
 from .state import TokenBucket
 
-BURST, LEAST = 3.0, 3.0  # s of quota, turns at least, at once
+BURST_S = 3.0  # seconds of quota that may be used at once
+MIN_BURST = 3.0  # turns that may come at once, however small the quota
 
 
 class Quotas:
-    """One router's part of each client's quota, in token buckets; no clock is kept."""
+    """One router's share of each tenant's quota, as token buckets."""
 
     def __init__(self, settings: Settings) -> None:
         self._rates = [tenant.quota_per_s / settings.instances for tenant in settings.tenants]
         self.buckets = [TokenBucket() for _ in settings.tenants]
 
     def over_quota(self, tenant: int, now: float) -> bool:
-        """Book one turn of a client; whether it is beyond its quota. A client without one never is."""
+        """Count one turn of a tenant; returns whether it exceeds the quota. Without a quota none does."""
         if tenant >= len(self._rates) or self._rates[tenant] <= 0:
             return False
         rate = self._rates[tenant]
-        return not self.buckets[tenant].take(rate, max(LEAST, rate * BURST), now)
+        return not self.buckets[tenant].take(rate, max(MIN_BURST, rate * BURST_S), now)
--- a/hopshed/read_pace.py
+++ b/hopshed/read_pace.py
@@ -1,40 +1,43 @@
-"""How fast servers of each role read, from reads of this router's own. No clock, no I/O."""
+"""How fast servers of each role read prompts, learnt from this router's own reads."""
 
 from __future__ import annotations
 
 from .interface import Role
 
-SMALL_READ, OUTLIER = 500.0, 2.0  # no pace is learnt from fewer tokens, or at so many times the pace
-FASTER, SLOWER = 0.25, 0.02  # weight of a sample: what is over the pace may be waiting
-DOUBT, SURE = 0.9, 5  # part that is left at a refusal after few reads, and how many are few
+MIN_SAMPLE_TOKENS = 500.0  # tokens; the pace of shorter reads says little
+OUTLIER_FACTOR = 2.0  # samples over this multiple of the pace are ignored
+FASTER_GAIN = 0.25  # weight of a sample below the pace
+SLOWER_GAIN = 0.02  # weight of a sample above the pace, which may include time in the queue
+UNCERTAIN_FACTOR = 0.9  # multiplies an uncertain pace when a turn is refused
+CERTAIN_SAMPLES = 5  # samples from which on a pace is certain
 
 
 class ReadPaces:
+    """The pace of each role's servers, in seconds a token."""
+
     def __init__(self) -> None:
-        self.by_role = dict.fromkeys(Role, 0.0)  # s a token read; 0 until measured: no refusal on a guess
-        self.samples = 0  # reads that taught a pace
-        self.measured: set[Role] = (
-            set()
-        )  # whose pace is not another role's, which stands in until it is known
+        self.by_role = dict.fromkeys(Role, 0.0)  # 0 = not measured yet, which refuses no turn
+        self.samples = 0
+        self.measured: set[Role] = set()  # others use the other role's pace
 
     def learn(self, role: Role, fresh: float, latency: float) -> None:
-        """A read of so many tokens took so many s, waiting included."""
+        """Take in a read of `fresh` tokens that took `latency` seconds, time in the queue included."""
         pace = self.by_role[role] if role in self.measured else 0.0
-        if fresh >= SMALL_READ and (not pace or latency / fresh < pace * OUTLIER):
+        if fresh >= MIN_SAMPLE_TOKENS and (not pace or latency / fresh < pace * OUTLIER_FACTOR):
             self.samples += 1
-            gain = 1.0 if not pace else FASTER if latency / fresh < pace else SLOWER
+            gain = 1.0 if not pace else FASTER_GAIN if latency / fresh < pace else SLOWER_GAIN
             self.by_role[role] = pace + gain * (latency / fresh - pace)
             self.by_role[Role.MIXED] = self.by_role[Role.MIXED] or self.by_role[role]
             self.measured.add(role)
 
     def lower_if_uncertain(self) -> None:
-        """A turn is refused: a young pace would refuse for ever, on one read that had queued (patras)."""
-        if self.samples < SURE:
-            self.by_role = {role: pace * DOUBT for role, pace in self.by_role.items()}
+        """Lower an uncertain pace after a refusal: one read that had queued would cause refusals for ever."""
+        if self.samples < CERTAIN_SAMPLES:
+            self.by_role = {role: pace * UNCERTAIN_FACTOR for role, pace in self.by_role.items()}
 
-    def restore(self, paces: dict[Role, float], learnt: int) -> None:
-        """Go on from what another one has learnt."""
-        self.by_role, self.samples = self.by_role | paces, learnt
+    def restore(self, paces: dict[Role, float], samples: int) -> None:
+        """Go on from the paces that another controller has learnt."""
+        self.by_role, self.samples = self.by_role | paces, samples
         reader, mixed = self.by_role[Role.READER], self.by_role[Role.MIXED]
         self.measured |= {Role.READER} if reader else set()
         self.measured |= {Role.MIXED} if mixed and mixed != reader else set()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -22,9 +22,9 @@
     (control, "AIM_MARGIN", 0.61),
     (control, "ACCEPT_SHARE", 0.55),
     (control, "STATE_HOLD_SHARE", 0.2),
-    (hold_queue, "LIFT", 1.0),
+    (hold_queue, "PRIORITY_WAIT_FACTOR", 1.0),
     (control, "RETRY_RATIO", 0.1),
-    (free_room, "SMOOTHING", 0.3),
+    (free_room, "SMOOTHING_S", 0.3),
     (free_room, "LIMIT_CUT", 0.7),
 ]
 
--- a/tests/test_free_room.py
+++ b/tests/test_free_room.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import server, settings
 
-from hopshed.free_room import LIMIT_CUT, LIMIT_START, MIN_LIMIT, REPORT_TTL, SMOOTHING, FreeRoom
+from hopshed.free_room import LIMIT_CUT, LIMIT_START, MIN_LIMIT, REPORT_TTL_S, SMOOTHING_S, FreeRoom
 from hopshed.interface import Load, Role, ServerState
 from hopshed.state import Worker
 from hopshed.topology import Topology
@@ -35,7 +35,7 @@
     w = report(writer(11), Load(utilization=0.5, in_flight=10.0))
     told = room(w, report_fields=("utilization",), instances=2)
     assert told.of_server(w, NOW) == pytest.approx(5.0)  # half of what is in flight is ours
-    assert told.of_server(w, NOW + REPORT_TTL + 0.01) is None
+    assert told.of_server(w, NOW + REPORT_TTL_S + 0.01) is None
 
 
 def test_sends_since_a_report_are_taken_off() -> None:
@@ -86,8 +86,8 @@
     assert limited.smoothed(Role.WRITER, [w], NOW) == 10.0
     limited.mark_smoothed(NOW)
     w.limit = 20.0
-    rising = limited.smoothed(Role.WRITER, [w], NOW + SMOOTHING)
+    rising = limited.smoothed(Role.WRITER, [w], NOW + SMOOTHING_S)
     assert rising == pytest.approx(10.0 + 10.0 * (1 - math.exp(-1)))
     w.streams = 20
-    assert limited.smoothed(Role.WRITER, [w], NOW + SMOOTHING) == 0.0
-    assert limited.smoothed(Role.WRITER, [], NOW + SMOOTHING) == 0.0
+    assert limited.smoothed(Role.WRITER, [w], NOW + SMOOTHING_S) == 0.0
+    assert limited.smoothed(Role.WRITER, [], NOW + SMOOTHING_S) == 0.0
--- a/tests/test_hold_queue.py
+++ b/tests/test_hold_queue.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hopshed.hold_queue import LIFT, SLACK, HoldQueue
+from hopshed.hold_queue import PRIORITY_WAIT_FACTOR, STALE_ENTRIES, HoldQueue
 from hopshed.interface import RequestArrived
 from hopshed.state import Request
 
@@ -31,8 +31,8 @@
 def test_a_long_wait_lifts_a_request_over_lower_cst() -> None:
     queue = HoldQueue()
     queue.push(request("heavy", 1.0), NOW)
-    queue.push(request("light", 0.5), NOW + LIFT)
-    assert names(queue, NOW + LIFT) == ["heavy", "light"]
+    queue.push(request("light", 0.5), NOW + PRIORITY_WAIT_FACTOR)
+    assert names(queue, NOW + PRIORITY_WAIT_FACTOR) == ["heavy", "light"]
 
 
 def test_requests_beyond_their_quota_come_last_and_are_never_lifted() -> None:
@@ -63,10 +63,10 @@
     queue = HoldQueue()
     stays = request("stays", 5.0)
     queue.push(stays, NOW)
-    for number in range(10 * SLACK):
+    for number in range(10 * STALE_ENTRIES):
         one = request(str(number))
         queue.push(one, NOW)
         queue.remove(one)
         queue.compact()
-        assert len(list(queue)) <= 4 * queue.count + SLACK
+        assert len(list(queue)) <= 4 * queue.count + STALE_ENTRIES
     assert queue.pop(NOW) is stays
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hopshed.backlog import EXCESS_FADES, QUEUE_MOST, Backlog
+from hopshed.backlog import MAX_QUEUE_S, UNEXPLAINED_DECAY_S, Backlog
 from hopshed.gossip import MOST_STEPS, NO_PREFIX, READING, READING_BYTES, Gossip, ReadSent, short_tag
 from hopshed.interface import ListKind, Log, Outcome, PeerSaid, Role, Send, ServersListed, StreamStarted, Tell
 from hopshed.popularity import DOUBT, DROPPED, Popularity
@@ -70,7 +70,7 @@
     queue.wait_reported(3.0, 10.0)
     queue.wait_reported(0.1, 10.0)  # the longer one stands
     assert queue.wait(10.0) == pytest.approx(3.0)
-    assert queue.wait(10.0 + 5 * EXCESS_FADES) < 0.05
+    assert queue.wait(10.0 + 5 * UNEXPLAINED_DECAY_S) < 0.05
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 2.0), st.floats(0.0, 3.0)), min_size=1, max_size=40))
@@ -88,9 +88,9 @@
     queue = Backlog()
     mark = queue.add(1.0, 10.0)
     queue.add(1e6, 10.0)
-    assert queue.wait(10.0) == QUEUE_MOST
+    assert queue.wait(10.0) == MAX_QUEUE_S
     queue.read_ended(mark, 1.0, 1.0, 11.0)
-    assert queue.wait(11.0) == QUEUE_MOST and queue.wait(11.0 + QUEUE_MOST) == 0.0
+    assert queue.wait(11.0) == MAX_QUEUE_S and queue.wait(11.0 + MAX_QUEUE_S) == 0.0
 
 
 # ---- the words ----
