--- a/tests/decision_stream.py
+++ b/tests/decision_stream.py
@@ -1,7 +1,7 @@
-"""A recorded stream of events for the decision module, and its actions, step by step.
+"""Streams of events for the controller, and digests of the actions that it returns at each step.
 
-A change that means to alter decisions records them anew: `python tests/decision_stream.py`, run with the
-repository on the path, writes the file that `test_decisions.py` compares with.
+`test_decisions.py` compares the digests with a recorded file. After a change that alters decisions
+on purpose, `python tests/decision_stream.py`, run with the repository on the path, writes that file anew.
 """
 
 from __future__ import annotations
@@ -14,21 +14,29 @@
 from pathlib import Path
 from random import Random
 
-from hopshed import Controller, Settings
-from hopshed import interface as i
+from hopshed import Controller, Settings, interface
 
 RECORD = Path(__file__).with_name("decision_stream.txt")
-A_LINE = 25  # digests in a line of it
-STEP = 0.02  # s of virtual time between two calls of the module
-STEPS = 1500
+DIGESTS_PER_LINE = 25  # in the recorded file
+STEP = 0.02  # s; virtual time between two calls of the controller
+STEPS = 1500  # calls in a stream
 CLASSES = (
-    i.RequestClass(aim=1.0, aim_per_1k=0.04, token_aim=0.06, patience=5.0, effect=i.Effect.SAFE),
-    i.RequestClass(aim=3.0, aim_per_1k=0.12, token_aim=0.08, patience=12.0, effect=i.Effect.UNSAFE),
-    i.RequestClass(
-        aim=2.0, aim_per_1k=0.04, token_aim=0.07, patience=8.0, effect=i.Effect.KEYED, dedup_window=4.0
+    interface.RequestClass(
+        aim=1.0, aim_per_1k=0.04, token_aim=0.06, patience=5.0, effect=interface.Effect.SAFE
+    ),
+    interface.RequestClass(
+        aim=3.0, aim_per_1k=0.12, token_aim=0.08, patience=12.0, effect=interface.Effect.UNSAFE
+    ),
+    interface.RequestClass(
+        aim=2.0,
+        aim_per_1k=0.04,
+        token_aim=0.07,
+        patience=8.0,
+        effect=interface.Effect.KEYED,
+        dedup_window=4.0,
     ),
 )
-ROLES = (i.Role.READER, i.Role.WRITER, i.Role.MIXED)
+ROLES = (interface.Role.READER, interface.Role.WRITER, interface.Role.MIXED)
 PLAIN = Settings(
     classes=CLASSES, roles=ROLES, memory_tokens=(200_000.0,) * 3, instances=2, max_attempts=4,
     may_cancel=True, retry_advice=True, max_retry_after=1.0, cold_from=0.3, cold_time=10.0, fall_multiple=2.5,
@@ -42,33 +50,37 @@
 
 
 @dataclass(order=True)
-class _Due:
+class _DueEvent:
+    """An event that the controller gets at a time."""
+
     at: float
-    order: int
-    event: i.Event = field(compare=False)
+    order: int  # among events of the same time
+    event: interface.Event = field(compare=False)
 
 
 class Recording:
-    """Feeds the module from a fleet that behaves at random, the same for each seed."""
+    """A controller with clients and servers that behave at random, in the same way for each seed."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream, self.random = stream, Random(f"decisions {stream.seed}")
         self.controller = Controller(stream.settings, stream.seed)
         self.now = 100.0
-        self._due: list[_Due] = []
+        self._due: list[_DueEvent] = []
         self._order = count()
         self._attempts: dict[str, int] = {}
         self._closed: set[str] = set()
         fleet = [
-            i.Server(10 * kind + n, kind, n % 2, n % 3, i.ServerState.RUNNING)
+            interface.Server(10 * kind + n, kind, n % 2, n % 3, interface.ServerState.RUNNING)
             for kind in range(3)
             for n in range(5)
         ]
         self.fleet = {server.id: server for server in fleet}
 
     def steps(self) -> Iterator[str]:
-        """One digest for each call: of the events and of the actions that came back."""
-        events: list[i.Event] = [i.ServersListed(i.ListKind.FULL, tuple(self.fleet.values()))]
+        """Yield a digest for each call, of its events and the actions returned."""
+        events: list[interface.Event] = [
+            interface.ServersListed(interface.ListKind.FULL, tuple(self.fleet.values()))
+        ]
         for step in range(STEPS):
             actions = self.controller.handle(self.now, events)
             yield hashlib.blake2b(f"{events!r} {actions!r}".encode(), digest_size=2).hexdigest()
@@ -77,11 +89,15 @@
             self.now = round(self.now + STEP, 6)
             events = self._next(step)
 
-    def _next(self, step: int) -> list[i.Event]:
-        events: list[i.Event] = []
+    def _next(self, step: int) -> list[interface.Event]:
+        events: list[interface.Event] = []
         while self._due and self._due[0].at <= self.now:
             event = heapq.heappop(self._due).event
-            if not isinstance(event, i.AttemptEnded) or not event.closed or event.id not in self._closed:
+            if (
+                not isinstance(event, interface.AttemptEnded)
+                or not event.closed
+                or event.id not in self._closed
+            ):
                 events.append(event)
         if self.random.random() < self.stream.arrivals:
             events.append(self._request(step))
@@ -89,78 +105,87 @@
             events.append(self._change())
         return events
 
-    def _request(self, step: int) -> i.Event:
+    def _request(self, step: int) -> interface.Event:
         cls = self.random.randrange(len(CLASSES))
         session = f"s{self.random.randrange(60)}"
         prompt = self.random.choice((300.0, 1500.0, 6000.0))
         prefix = self.random.choice(("", "p1", "p2"))
         if self.random.random() < 0.05:
-            self._later(self.random.uniform(0.0, 2.0), i.ClientGone(f"r{step}"))
+            self._later(self.random.uniform(0.0, 2.0), interface.ClientGone(f"r{step}"))
         patience = CLASSES[cls].patience
-        return i.RequestArrived(
+        return interface.RequestArrived(
             f"r{step}", cls, 0, session, patience, prompt, prefix=prefix, max_tokens=300.0
         )
 
-    def _change(self) -> i.Event:
-        """A server drains, goes, or has started anew."""
+    def _change(self) -> interface.Event:
+        """A server begins to drain, runs again, or was restarted."""
         number = self.random.choice(list(self.fleet))
-        state = self.random.choice((i.ServerState.RUNNING, i.ServerState.RUNNING, i.ServerState.DRAINING))
+        state = self.random.choice(
+            (interface.ServerState.RUNNING, interface.ServerState.RUNNING, interface.ServerState.DRAINING)
+        )
         started = self.now if self.random.random() < 0.5 else None
         self.fleet[number] = self.fleet[number]._replace(state=state, started=started)
-        return i.ServersListed(i.ListKind.CHANGES, (self.fleet[number],))
+        return interface.ServersListed(interface.ListKind.CHANGES, (self.fleet[number],))
 
-    def _carry_out(self, action: i.Action) -> None:
-        if isinstance(action, i.Send):
+    def _carry_out(self, action: interface.Action) -> None:
+        if isinstance(action, interface.Send):
             self._attempt(action)
-        elif isinstance(action, i.Refuse | i.Fail):
+        elif isinstance(action, interface.Refuse | interface.Fail):
             self._closed.add(action.id)
-        elif isinstance(action, i.SetTimer):
-            self._later(action.delay, i.TimerFired(action.token))
-        elif isinstance(action, i.Probe):
-            load = i.Load(utilization=self.random.random(), memory_share=self.random.random())
-            self._later(0.02, i.ProbeEnded(action.server, self.random.random() < 0.9, 0.02, load))
+        elif isinstance(action, interface.SetTimer):
+            self._later(action.delay, interface.TimerFired(action.token))
+        elif isinstance(action, interface.Probe):
+            load = interface.Load(utilization=self.random.random(), memory_share=self.random.random())
+            self._later(0.02, interface.ProbeEnded(action.server, self.random.random() < 0.9, 0.02, load))
 
-    def _attempt(self, action: i.Send) -> None:
+    def _attempt(self, action: interface.Send) -> None:
         number = self._attempts.get(action.id, -1) + 1
         self._attempts[action.id] = number
         role = ROLES[self.fleet[action.server].kind]
         took = self.random.expovariate(1 / self.stream.pace)
         draw = self.random.random()
         if took > action.timeout:
-            return self._end(action, number, i.Outcome.TIMED_OUT, action.timeout)
+            return self._end(action, number, interface.Outcome.TIMED_OUT, action.timeout)
         if draw < 0.12:
-            failed = (i.Outcome.FULL, i.Outcome.FAILED, i.Outcome.UNREACHABLE, i.Outcome.RESET)
+            failed = (
+                interface.Outcome.FULL,
+                interface.Outcome.FAILED,
+                interface.Outcome.UNREACHABLE,
+                interface.Outcome.RESET,
+            )
             return self._end(action, number, self.random.choice(failed), took)
-        if role is i.Role.READER:
-            return self._end(action, number, i.Outcome.READ, took, note=self.random.choice((0, 250)))
-        self._later(took, i.StreamStarted(action.id, number, action.server, took))
-        return self._end(action, number, i.Outcome.OK, took + self.random.uniform(0.5, 3.0), closed=True)
+        if role is interface.Role.READER:
+            return self._end(action, number, interface.Outcome.READ, took, note=self.random.choice((0, 250)))
+        self._later(took, interface.StreamStarted(action.id, number, action.server, took))
+        return self._end(
+            action, number, interface.Outcome.OK, took + self.random.uniform(0.5, 3.0), closed=True
+        )
 
     def _end(
         self,
-        action: i.Send,
+        action: interface.Send,
         number: int,
-        outcome: i.Outcome,
+        outcome: interface.Outcome,
         took: float,
         note: int = 0,
         closed: bool = False,
     ) -> None:
-        load = i.Load(memory_share=self.random.random(), queued=0.2, backlog_tokens=500.0)
-        end = i.AttemptEnded(action.id, number, action.server, outcome, took, closed, note, load)
+        load = interface.Load(memory_share=self.random.random(), queued=0.2, backlog_tokens=500.0)
+        end = interface.AttemptEnded(action.id, number, action.server, outcome, took, closed, note, load)
         self._later(took, end)
 
-    def _later(self, wait: float, event: i.Event) -> None:
-        heapq.heappush(self._due, _Due(self.now + wait, next(self._order), event))
+    def _later(self, wait: float, event: interface.Event) -> None:
+        heapq.heappush(self._due, _DueEvent(self.now + wait, next(self._order), event))
 
 
 @dataclass(frozen=True)
 class Stream:
-    """What a recording is made of."""
+    """The parameters of a recording."""
 
     settings: Settings
     seed: int
-    arrivals: float = 0.5  # chance of a request in a step
-    pace: float = 0.15  # s that an attempt takes on average until it is read, or begins
+    arrivals: float = 0.5  # probability of a request in a step
+    pace: float = 0.15  # s; mean time of a read, or until the first token
 
 
 STREAMS = {
@@ -179,7 +204,7 @@
 
 
 def recorded() -> dict[str, list[str]]:
-    """The digests that stand in the record, by stream."""
+    """The digests in the recorded file, by stream."""
     found: dict[str, list[str]] = {}
     for line in RECORD.read_text().splitlines():
         name, _, row = line.partition(": ")
@@ -188,11 +213,11 @@
 
 
 def record() -> None:
-    """Write the record anew."""
+    """Write the recorded file anew."""
     lines = []
     for name in STREAMS:
         found = digests(name)
-        rows = [found[n : n + A_LINE] for n in range(0, len(found), A_LINE)]
+        rows = [found[n : n + DIGESTS_PER_LINE] for n in range(0, len(found), DIGESTS_PER_LINE)]
         lines += [f"{name}: {' '.join(row)}" for row in rows]
     RECORD.write_text("\n".join(lines) + "\n")
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Short hand-written scripts against the Controller, without any bench."""
+"""A driver for scripted tests of the Controller: it feeds events and keeps the actions."""
 
 from __future__ import annotations
 
@@ -26,10 +26,11 @@
 )
 
 T = TypeVar("T")
-ROLES = (Role.READER, Role.WRITER, Role.MIXED)
+ROLES = (Role.READER, Role.WRITER, Role.MIXED)  # by server kind
 
 
-def settings(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **kw: Any) -> Settings:
+def settings(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **changes: Any) -> Settings:
+    """Settings with one request class; `changes` replaces fields."""
     cls = RequestClass(
         aim=1.0, aim_per_1k=0.04, token_aim=0.06, patience=5.0, effect=effect, group=group, dedup_window=2.0
     )
@@ -47,78 +48,97 @@
         "fall_window": 2.0,
         "drain_grace": 1.0,
     }
-    return Settings(**(base | kw))
+    return Settings(**(base | changes))
 
 
 def server(
-    sid: int,
+    number: int,
     kind: int,
     zone: int = 0,
     cell: int = 0,
     state: ServerState = ServerState.RUNNING,
     started: float | None = None,
 ) -> Server:
-    return Server(sid, kind, zone, cell, state, started)
+    """A server of the list; `kind` as in ROLES."""
+    return Server(number, kind, zone, cell, state, started)
 
 
 FLEET = (server(1, 0), server(2, 0), server(3, 0), server(11, 1), server(12, 1), server(13, 1))
 
 
 class Bench:
-    """Feeds events and remembers sends, so that a script can say what happened to the last one."""
+    """A controller with a clock. It remembers each request's sends, so that a test can end the latest one."""
 
     def __init__(
         self,
         fleet: Sequence[Server] = FLEET,
         seed: int = 1,
         make: Callable[[Settings, int], Controller] = Controller,
-        **kw: Any,
+        **changes: Any,
     ) -> None:
-        self.c = make(settings(**kw), seed)
+        """`changes` replaces fields of the settings."""
+        self.c = make(settings(**changes), seed)  # the controller
         self.now = 100.0
-        self.attempts: dict[str, list[int]] = {}
-        self.timer = (0.0, 0)
-        self.log: list[Any] = []
+        self.attempts: dict[str, list[int]] = {}  # request -> the servers it was sent to
+        self.timer = (0.0, 0)  # when it fires, and its token
+        self.log: list[Any] = []  # all actions
         self.do(ServersListed(ListKind.SAVED, tuple(fleet)))
 
     def do(self, *events: Event, at: float | None = None) -> list[Any]:
+        """Handle events now, or `at` a later time; returns the actions without timers."""
         if at is not None:
             self.now = at
-        acts = self.c.handle(self.now, list(events))
-        for act in acts:
-            if isinstance(act, Send):
-                self.attempts.setdefault(act.id, []).append(act.server)
-            elif isinstance(act, SetTimer):
-                self.timer = (self.now + act.delay, act.token)
-        self.log += acts
-        return [a for a in acts if not isinstance(a, SetTimer)]
-
-    def arrive(self, rid: str, session: str | None = None, patience: float = 5.0, **kw: Any) -> list[Any]:
-        prompt = kw.pop("prompt_tokens", 1000.0)
+        actions = self.c.handle(self.now, list(events))
+        for action in actions:
+            if isinstance(action, Send):
+                self.attempts.setdefault(action.id, []).append(action.server)
+            elif isinstance(action, SetTimer):
+                self.timer = (self.now + action.delay, action.token)
+        self.log += actions
+        return [action for action in actions if not isinstance(action, SetTimer)]
+
+    def arrive(
+        self, request: str, session: str | None = None, patience: float = 5.0, **fields: Any
+    ) -> list[Any]:
+        """A request arrives, in a session of its own unless one is given."""
+        prompt = fields.pop("prompt_tokens", 1000.0)
         return self.do(
             RequestArrived(
-                rid, 0, kw.pop("tenant", 0), session or rid, patience, prompt, max_tokens=200.0, **kw
+                request,
+                0,
+                fields.pop("tenant", 0),
+                session or request,
+                patience,
+                prompt,
+                max_tokens=200.0,
+                **fields,
             )
         )
 
     def end(
-        self, rid: str, outcome: Outcome, after: float = 0.05, closed: bool = False, note: float = 0
+        self, request: str, outcome: Outcome, after: float = 0.05, closed: bool = False, note: float = 0
     ) -> list[Any]:
+        """The latest attempt of a request ends, `after` seconds from now."""
         self.now += after
-        n = len(self.attempts[rid]) - 1
-        return self.do(AttemptEnded(rid, n, self.attempts[rid][n], outcome, after, closed, int(note)))
+        number = len(self.attempts[request]) - 1
+        return self.do(
+            AttemptEnded(request, number, self.attempts[request][number], outcome, after, closed, int(note))
+        )
 
-    def read(self, rid: str, after: float = 0.05) -> list[Any]:
-        return self.end(rid, Outcome.READ, after)
+    def read(self, request: str, after: float = 0.05) -> list[Any]:
+        """The read of a request ends, `after` seconds from now."""
+        return self.end(request, Outcome.READ, after)
 
     def tick(self, until: float) -> list[Any]:
-        out = []
+        """Move the clock to `until`, with the timers on the way."""
+        actions = []
         while self.timer[0] <= until:
             self.now = self.timer[0]
-            out += self.do(TimerFired(self.timer[1]))
+            actions += self.do(TimerFired(self.timer[1]))
         self.now = until
-        return out
+        return actions
 
 
-def only(acts: Iterable[Any], kind: type[T]) -> list[T]:
-    return [a for a in acts if isinstance(a, kind)]
+def only(actions: Iterable[Any], kind: type[T]) -> list[T]:
+    """The actions of one kind."""
+    return [action for action in actions if isinstance(action, kind)]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,3 +1,5 @@
+"""Decisions of the controller in scripted situations."""
+
 from pathlib import Path
 
 import pytest
@@ -36,221 +38,225 @@
     assert "interface.py" in lines[0] + lines[1]
 
 
-def test_turn_goes_to_a_reader_then_a_writer_and_ends_once():
-    b = Bench()
-    (send,) = only(b.arrive("a"), Send)
+def test_a_turn_goes_to_a_reader_then_to_a_writer_and_ends_once():
+    bench = Bench()
+    (send,) = only(bench.arrive("a"), Send)
     assert send.server in READERS
-    (send,) = only(b.read("a"), Send)
+    (send,) = only(bench.read("a"), Send)
     assert send.server in WRITERS
-    b.do(StreamStarted("a", 1, send.server, 0.1))
-    assert only(b.end("a", Outcome.OK, closed=True), (Refuse, Fail, Send)) == []
-    assert b.end("a", Outcome.OK, closed=True) == []  # a late duplicate does nothing
+    bench.do(StreamStarted("a", 1, send.server, 0.1))
+    assert only(bench.end("a", Outcome.OK, closed=True), (Refuse, Fail, Send)) == []
+    assert bench.end("a", Outcome.OK, closed=True) == []  # a repeated event has no effect
 
 
-def test_later_turn_returns_to_the_sessions_last_reader_and_prefix_homes_agree():
+def test_later_turns_return_to_the_last_reader_and_routers_agree_on_homes():
     homes = set()
     for seed in (1, 2, 3):
-        b = Bench(seed=seed)
-        (send,) = only(b.arrive("a", session="s", prefix="p", prefix_tokens=900.0), Send)
+        bench = Bench(seed=seed)
+        (send,) = only(bench.arrive("a", session="s", prefix="p", prefix_tokens=900.0), Send)
         homes.add(send.server)
-        b.read("a")
-        (again,) = only(b.arrive("b", session="s", prompt_tokens=1500.0), Send)
+        bench.read("a")
+        (again,) = only(bench.arrive("b", session="s", prompt_tokens=1500.0), Send)
         assert again.server == send.server
     assert len(homes) == 1
 
 
-def test_lowest_service_time_is_released_first_and_long_waits_are_lifted():
-    b = Bench(memory_tokens=(), max_attempts=9)
+def test_the_lowest_service_time_is_admitted_first_unless_another_waited_long():
+    full = Bench(memory_tokens=(), max_attempts=9)
     for n in range(40):
-        b.arrive(f"fill{n}", patience=30.0)
-    assert b.c.queue.count > 0
+        full.arrive(f"fill{n}", patience=30.0)
+    assert full.c.queue.count > 0
     old, new = Bench(), Bench()
     for bench, wait in ((old, 10.0), (new, 0.0)):
-        heavy = bench.c
-        heavy.sessions.clear()
-        s = Session()
-        s.cst, s.at = 1.0, bench.now
-        heavy.sessions["heavy"] = s
-        for w in heavy.workers.values():
-            w.limit = 0.0 if w.info.id in WRITERS else w.limit
+        controller = bench.c
+        controller.sessions.clear()
+        heavy = Session()
+        heavy.cst, heavy.at = 1.0, bench.now
+        controller.sessions["heavy"] = heavy
+        for worker in controller.workers.values():
+            worker.limit = 0.0 if worker.info.id in WRITERS else worker.limit
         bench.arrive("x", patience=60.0)
         bench.arrive("h", session="heavy", patience=60.0)
         light = Session()
         light.cst, light.at = 0.5, bench.now
-        heavy.sessions["light"] = light
+        controller.sessions["light"] = light
         bench.now += wait
         bench.arrive("l", session="light", patience=60.0)
     assert new.c.queue.pop(new.now).event.id == "l" or new.c.queue.pop(new.now).event.id == "l"
     assert old.c.queue.pop(old.now).event.id == "h"
 
 
-def test_hold_that_cannot_meet_its_aim_is_refused_early():
-    b = Bench()
-    for w in b.c.workers.values():
-        w.limit = 0.0
-    b.arrive("busy")  # with nothing out one turn always passes
-    assert only(b.arrive("a"), Send) == []
-    refused = only(b.tick(b.now + 1.2), Refuse)
+def test_a_held_request_that_cannot_meet_its_aim_is_refused_early():
+    bench = Bench()
+    for worker in bench.c.workers.values():
+        worker.limit = 0.0
+    bench.arrive("busy")  # with no attempt in flight, one turn is always admitted
+    assert only(bench.arrive("a"), Send) == []
+    refused = only(bench.tick(bench.now + 1.2), Refuse)
     assert [r.id for r in refused] == ["a"]
 
 
-def test_client_with_less_time_than_a_tick_is_answered_at_once():
-    b = Bench()
-    for w in b.c.workers.values():
-        w.limit = 0.0
-    b.arrive("busy")
-    assert [r.id for r in only(b.arrive("a", patience=0.017), Refuse)] == ["a"]
+def test_a_client_with_less_time_than_a_tick_is_answered_at_once():
+    bench = Bench()
+    for worker in bench.c.workers.values():
+        worker.limit = 0.0
+    bench.arrive("busy")
+    assert [r.id for r in only(bench.arrive("a", patience=0.017), Refuse)] == ["a"]
 
 
 def test_failed_read_goes_to_another_reader():
-    b = Bench()
-    (first,) = only(b.arrive("a"), Send)
-    (second,) = only(b.end("a", Outcome.FAILED), Send)
+    bench = Bench()
+    (first,) = only(bench.arrive("a"), Send)
+    (second,) = only(bench.end("a", Outcome.FAILED), Send)
     assert second.server in READERS - {first.server}
 
 
 def test_failed_hand_over_tries_another_writer_while_the_state_waits():
-    b = Bench()
-    b.arrive("a")
-    (w1,) = only(b.read("a"), Send)
-    (w2,) = only(b.end("a", Outcome.FULL), Send)
+    bench = Bench()
+    bench.arrive("a")
+    (w1,) = only(bench.read("a"), Send)
+    (w2,) = only(bench.end("a", Outcome.FULL), Send)
     assert w2.server in WRITERS - {w1.server}
 
 
-def test_state_not_found_is_let_go_and_read_again():
-    """A state that is cut off from the writer looks lost, and stayed pinned at its reader."""
-    b = Bench()
-    b.arrive("a")
-    b.read("a")
-    acts = b.end("a", Outcome.FULL, note=1)
-    assert only(acts, ReleaseState)
-    assert only(acts, Send)[0].server in READERS
+def test_a_state_that_the_writer_cannot_find_is_released_and_read_again():
+    """A state that the writer cannot reach looks lost, and would otherwise stay at its reader."""
+    bench = Bench()
+    bench.arrive("a")
+    bench.read("a")
+    actions = bench.end("a", Outcome.FULL, note=1)
+    assert only(actions, ReleaseState)
+    assert only(actions, Send)[0].server in READERS
 
 
-def test_state_is_released_after_hangup_during_the_read():
-    b = Bench(may_cancel=False)
-    b.arrive("a")
-    b.do(ClientGone("a"))
-    assert only(b.read("a"), ReleaseState)
+def test_a_state_is_released_if_the_client_left_during_the_read():
+    bench = Bench(may_cancel=False)
+    bench.arrive("a")
+    bench.do(ClientGone("a"))
+    assert only(bench.read("a"), ReleaseState)
 
 
-def test_state_is_released_when_no_writer_will_have_it():
-    b = Bench()
-    b.arrive("a")
-    b.read("a")
-    acts = []
+def test_a_state_is_released_when_no_writer_accepts_it():
+    bench = Bench()
+    bench.arrive("a")
+    bench.read("a")
+    actions = []
     for _ in range(3):
-        acts += b.end("a", Outcome.FULL, after=0.01)
-    acts += b.tick(b.now + 0.5)
-    assert only(acts, ReleaseState) and len(only(acts, Refuse)) == 1
+        actions += bench.end("a", Outcome.FULL, after=0.01)
+    actions += bench.tick(bench.now + 0.5)
+    assert only(actions, ReleaseState) and len(only(actions, Refuse)) == 1
 
 
-def test_connections_that_never_come_up_do_not_give_a_state_more_time():
+def test_failed_connections_do_not_extend_the_time_to_hold_a_state():
     fleet = (server(1, 0), *(server(n, 1) for n in range(11, 17)))
-    b = Bench(fleet, release_within=1.0)
-    b.arrive("a")
-    b.read("a")
-    assert len(only(b.end("a", Outcome.UNREACHABLE, after=0.25), Send)) == 1
-    assert len(only(b.end("a", Outcome.UNREACHABLE, after=0.25), Send)) == 1
-    acts = b.end("a", Outcome.UNREACHABLE, after=0.25)  # 0.75 s after the read
-    assert not only(acts, Send) and only(acts, ReleaseState) and only(acts, Refuse)
+    bench = Bench(fleet, release_within=1.0)
+    bench.arrive("a")
+    bench.read("a")
+    assert len(only(bench.end("a", Outcome.UNREACHABLE, after=0.25), Send)) == 1
+    assert len(only(bench.end("a", Outcome.UNREACHABLE, after=0.25), Send)) == 1
+    actions = bench.end("a", Outcome.UNREACHABLE, after=0.25)  # 0.75 s after the read
+    assert not only(actions, Send) and only(actions, ReleaseState) and only(actions, Refuse)
 
 
-def test_a_writer_that_turned_a_state_away_gives_it_time_anew():
+def test_a_full_writers_answer_extends_the_time_to_hold_a_state():
     fleet = (server(1, 0), server(11, 1))
-    b = Bench(fleet, release_within=1.0)
-    b.arrive("a")
-    b.read("a")
-    assert not only(b.end("a", Outcome.FULL, after=0.5), Refuse)  # the tick looks again
-    assert not only(b.tick(b.now + 0.5), Refuse)
-    assert only(b.tick(b.now + 0.2), Refuse)
+    bench = Bench(fleet, release_within=1.0)
+    bench.arrive("a")
+    bench.read("a")
+    assert not only(bench.end("a", Outcome.FULL, after=0.5), Refuse)  # the tick tries again
+    assert not only(bench.tick(bench.now + 0.5), Refuse)
+    assert only(bench.tick(bench.now + 0.2), Refuse)
 
 
-def test_draining_and_gone_servers_get_nothing_new():
-    b = Bench()
+def test_draining_and_gone_servers_get_no_new_requests():
+    bench = Bench()
     draining = tuple(server(i, 0, state=ServerState.DRAINING) for i in (1, 2))
-    b.do(ServersListed(ListKind.CHANGES, draining))
+    bench.do(ServersListed(ListKind.CHANGES, draining))
     for n in range(6):
-        assert all(s.server == 3 for s in only(b.arrive(f"r{n}"), Send))
-    b.do(ServersListed(ListKind.FULL, FLEET[1:]))
+        assert all(s.server == 3 for s in only(bench.arrive(f"r{n}"), Send))
+    bench.do(ServersListed(ListKind.FULL, FLEET[1:]))
     for n in range(6):
-        assert all(s.server != 1 for s in only(b.arrive(f"q{n}"), Send))
+        assert all(s.server != 1 for s in only(bench.arrive(f"q{n}"), Send))
 
 
-def test_restarted_server_is_spared_right_after_its_start():
-    b = Bench()
-    b.do(ServersListed(ListKind.CHANGES, (server(11, 1, started=b.now),)))
+def test_a_restarted_server_gets_few_requests_at_first():
+    bench = Bench()
+    bench.do(ServersListed(ListKind.CHANGES, (server(11, 1, started=bench.now),)))
     sent = []
     for n in range(20):
-        b.arrive(f"r{n}")
-        sent += [s.server for s in only(b.read(f"r{n}", after=0.01), Send)]
+        bench.arrive(f"r{n}")
+        sent += [s.server for s in only(bench.read(f"r{n}", after=0.01), Send)]
     assert sent.count(11) <= 1 and len(sent) == 20
 
 
-def test_failing_server_is_ejected_and_comes_back_by_trial():
-    b = Bench()
-    bad = only(b.arrive("a", session="k"), Send)[0].server
-    b.end("a", Outcome.FAILED)
-    b.arrive("b", session="k")
-    if b.attempts["b"][0] == bad:
-        b.end("b", Outcome.FAILED)
-    assert not b.c._usable(b.c.workers[bad], b.now)
-    assert b.c._usable(b.c.workers[bad], b.now + 20)
+def test_a_failing_server_is_ejected_and_may_be_tried_again_later():
+    bench = Bench()
+    bad = only(bench.arrive("a", session="k"), Send)[0].server
+    bench.end("a", Outcome.FAILED)
+    bench.arrive("b", session="k")
+    if bench.attempts["b"][0] == bad:
+        bench.end("b", Outcome.FAILED)
+    assert not bench.c._usable(bench.c.workers[bad], bench.now)
+    assert bench.c._usable(bench.c.workers[bad], bench.now + 20)
 
 
-def test_ejection_leaves_part_of_a_role():
-    b = Bench()
-    for w in list(b.c.workers.values()):
-        b.c._eject(w, b.now, silent=False)
-    assert any(b.c._usable(w, b.now) for w in b.c.workers.values() if w.info.id in READERS)
-    assert any(b.c._usable(w, b.now) for w in b.c.workers.values() if w.info.id in WRITERS)
+def test_ejection_leaves_some_servers_of_each_role():
+    bench = Bench()
+    for worker in list(bench.c.workers.values()):
+        bench.c._eject(worker, bench.now, silent=False)
+    assert any(
+        bench.c._usable(worker, bench.now) for worker in bench.c.workers.values() if worker.info.id in READERS
+    )
+    assert any(
+        bench.c._usable(worker, bench.now) for worker in bench.c.workers.values() if worker.info.id in WRITERS
+    )
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
-def test_unsafe_requests_go_again_only_when_no_attempt_can_have_run(outcome):
-    b = Bench(effect=Effect.UNSAFE)
-    b.arrive("a")
-    b.read("a")
+def test_unsafe_requests_are_repeated_only_if_no_attempt_can_have_run(outcome):
+    bench = Bench(effect=Effect.UNSAFE)
+    bench.arrive("a")
+    bench.read("a")
     if outcome is Outcome.OK:
         return
-    acts = b.end("a", outcome)
+    actions = bench.end("a", outcome)
     if outcome.never_ran:
-        assert not only(acts, Fail)
+        assert not only(actions, Fail)
     else:
-        assert not only(acts, (Send, Refuse)) and only(acts, Fail)
+        assert not only(actions, (Send, Refuse)) and only(actions, Fail)
 
 
-def test_keyed_requests_stay_in_their_group():
+def test_keyed_requests_are_repeated_only_within_their_group():
     fleet = (*FLEET[:3], server(11, 1, cell=1), server(12, 1, cell=2))
-    b = Bench(fleet=fleet, effect=Effect.KEYED, group=Group.CELL)
-    b.arrive("a")
-    b.read("a")
-    acts = b.end("a", Outcome.FAILED)
-    assert not only(acts, (Send, Refuse)) and only(acts, Fail) and only(acts, ReleaseState)
+    bench = Bench(fleet=fleet, effect=Effect.KEYED, group=Group.CELL)
+    bench.arrive("a")
+    bench.read("a")
+    actions = bench.end("a", Outcome.FAILED)
+    assert not only(actions, (Send, Refuse)) and only(actions, Fail) and only(actions, ReleaseState)
 
 
 def test_unknown_and_late_events_do_nothing():
-    b = Bench()
-    b.arrive("a")
-    odd = [AttemptEnded(rid, n, 1, Outcome.OK, 0.1, True) for rid, n in (("zz", 0), ("a", 7))]
-    assert b.do(*odd, ClientGone("zz"), StreamStarted("zz", 0, 1, 0.1), ProbeEnded(99, True, 0.1)) == []
+    bench = Bench()
+    bench.arrive("a")
+    odd = [AttemptEnded(request, n, 1, Outcome.OK, 0.1, True) for request, n in (("zz", 0), ("a", 7))]
+    assert bench.do(*odd, ClientGone("zz"), StreamStarted("zz", 0, 1, 0.1), ProbeEnded(99, True, 0.1)) == []
 
 
 def test_room_formula_from_reports():
-    b = Bench(report_fields=("utilization", "queued", "memory_share"), may_probe=True)
-    w = b.c.workers[11]
-    w.streams = 10
-    b.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5, queued=0.0, memory_share=0.3)))
-    assert b.c.room.of_server(w, b.now) == pytest.approx(10.0)
-    b.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5, queued=0.0, memory_share=0.95)))
-    assert b.c.room.of_server(w, b.now) <= 0
+    bench = Bench(report_fields=("utilization", "queued", "memory_share"), may_probe=True)
+    worker = bench.c.workers[11]
+    worker.streams = 10
+    bench.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5, queued=0.0, memory_share=0.3)))
+    assert bench.c.room.of_server(worker, bench.now) == pytest.approx(10.0)
+    bench.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5, queued=0.0, memory_share=0.95)))
+    assert bench.c.room.of_server(worker, bench.now) <= 0
 
 
-def test_a_deployment_without_reports_still_has_a_gate():
-    b = Bench(memory_tokens=(20000.0,) * 3)
+def test_admission_is_limited_without_load_reports():
+    bench = Bench(memory_tokens=(20000.0,) * 3)
     for n in range(60):
-        b.arrive(f"r{n}")
-    assert 0 < b.c.queue.count < 60
+        bench.arrive(f"r{n}")
+    assert 0 < bench.c.queue.count < 60
 
 
 def test_impossible_settings_are_refused():
@@ -259,132 +265,134 @@
             settings(**bad)
 
 
-def test_clients_that_leave_early_bound_the_aim():
-    """Reads for clients who leave at half a second run on and serve nobody (incident i547495)."""
-    b = Bench()
+def test_the_aim_is_bounded_by_the_age_at_which_most_clients_leave():
+    """Reads for clients that leave after half a second run on and serve nobody."""
+    bench = Bench()
     for n in range(20):
-        b.arrive(f"r{n}")
-        b.now += 0.5
-        b.do(ClientGone(f"r{n}"))
-        b.end(f"r{n}", Outcome.CANCELED, after=0.0)
-    b.arrive("x")
-    assert b.c.requests["x"].first_token_due - b.now < 0.7
+        bench.arrive(f"r{n}")
+        bench.now += 0.5
+        bench.do(ClientGone(f"r{n}"))
+        bench.end(f"r{n}", Outcome.CANCELED, after=0.0)
+    bench.arrive("x")
+    assert bench.c.requests["x"].first_token_due - bench.now < 0.7
     for n in range(80):
-        b.arrive(f"s{n}")
-        b.read(f"s{n}", after=0.01)
-        b.do(StreamStarted(f"s{n}", 1, b.attempts[f"s{n}"][1], 0.02))
-    b.arrive("y")
-    assert b.c.requests["y"].first_token_due - b.now == pytest.approx(1.04)
+        bench.arrive(f"s{n}")
+        bench.read(f"s{n}", after=0.01)
+        bench.do(StreamStarted(f"s{n}", 1, bench.attempts[f"s{n}"][1], 0.02))
+    bench.arrive("y")
+    assert bench.c.requests["y"].first_token_due - bench.now == pytest.approx(1.04)
 
 
-def test_a_busy_server_that_loses_probes_is_not_silent_and_a_hung_one_is():
-    """Deep probes wait behind work: lost ones alone ejected busy readers (athens big-2)."""
+def test_lost_probes_eject_a_hung_server_but_not_a_busy_one():
+    """Probes wait behind other work, so lost probes alone would eject busy readers."""
     for wait, silent in ((1.0, False), (0.0, True)):
-        b = Bench(may_probe=True)
-        w = b.c.workers[1]
-        w.wait, w.life = wait, b.now
-        b.now += 0.9
-        b.do(ProbeEnded(1, False, 0.25))
-        b.do(ProbeEnded(1, False, 0.25))
-        assert (b.now < w.ejected) is silent
-
-
-def test_a_quiet_slow_start_reader_is_left_for_a_quicker_one():
-    b = Bench()
-    home = only(b.arrive("a", session="k"), Send)[0].server
-    b.read("a")
-    w = b.c.workers[home]
-    w.wait, w.wait_at = 5.0, b.now
-    assert only(b.arrive("b", session="k"), Send)[0].server != home
-
-
-def test_slow_streams_shrink_a_servers_room():
-    b = Bench(report_fields=("utilization",))
-    w = b.c.workers[11]
-    w.streams = 10
-    b.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5)))
-    before = b.c.room.of_server(w, b.now)
-    w.drag = 2.0
-    assert b.c.room.of_server(w, b.now) < before / 2
-
-
-def test_many_slow_first_tokens_cut_the_limit_once():
-    """Each cut used to multiply: one slow moment closed the gate for seconds (incident i70bfaf)."""
-    b = Bench()
-    w = b.c.workers[11]
-    w.streams, w.limit = 20, 100.0
-    b.c.room.lower_limit(w)
-    once = b.c.room.stream_limit(w)
+        bench = Bench(may_probe=True)
+        worker = bench.c.workers[1]
+        worker.wait, worker.life = wait, bench.now
+        bench.now += 0.9
+        bench.do(ProbeEnded(1, False, 0.25))
+        bench.do(ProbeEnded(1, False, 0.25))
+        assert (bench.now < worker.ejected) is silent
+
+
+def test_a_last_reader_with_a_long_wait_is_passed_over():
+    bench = Bench()
+    home = only(bench.arrive("a", session="k"), Send)[0].server
+    bench.read("a")
+    worker = bench.c.workers[home]
+    worker.wait, worker.wait_at = 5.0, bench.now
+    assert only(bench.arrive("b", session="k"), Send)[0].server != home
+
+
+def test_slow_streams_reduce_a_servers_room():
+    bench = Bench(report_fields=("utilization",))
+    worker = bench.c.workers[11]
+    worker.streams = 10
+    bench.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5)))
+    before = bench.c.room.of_server(worker, bench.now)
+    worker.drag = 2.0
+    assert bench.c.room.of_server(worker, bench.now) < before / 2
+
+
+def test_many_slow_first_tokens_lower_the_limit_once():
+    """If each lowered it further, one slow moment would stop admission for seconds."""
+    bench = Bench()
+    worker = bench.c.workers[11]
+    worker.streams, worker.limit = 20, 100.0
+    bench.c.room.lower_limit(worker)
+    once = bench.c.room.stream_limit(worker)
     for _ in range(10):
-        b.c.room.lower_limit(w)
-    assert once == b.c.room.stream_limit(w) == pytest.approx(21 * 0.85)
+        bench.c.room.lower_limit(worker)
+    assert once == bench.c.room.stream_limit(worker) == pytest.approx(21 * 0.85)
 
 
-def test_a_hung_writer_that_answers_probes_is_ejected_and_a_reader_is_not():
-    """Hung writers may answer probes beside their queue, which passed for life (thess rough-1)."""
+def test_a_hung_writer_is_ejected_though_it_answers_probes_but_a_reader_is_not():
+    """A hung writer may answer probes outside its queue, so their answers must not count as signs of life."""
     for stage, ejected in (("write", True), ("read", False)):
-        b = Bench(may_probe=True)
-        b.arrive("a")
+        bench = Bench(may_probe=True)
+        bench.arrive("a")
         if stage == "write":
-            b.read("a")
-        w = b.c.workers[b.attempts["a"][-1]]
+            bench.read("a")
+        worker = bench.c.workers[bench.attempts["a"][-1]]
         for _ in range(38):
-            b.tick(b.now + 0.05)
-            if w.probe_in_flight:
-                b.do(ProbeEnded(w.info.id, True, 0.01))
-        assert (b.now < w.ejected) is ejected
+            bench.tick(bench.now + 0.05)
+            if worker.probe_in_flight:
+                bench.do(ProbeEnded(worker.info.id, True, 0.01))
+        assert (bench.now < worker.ejected) is ejected
 
 
-def arrivals(n, every, routers, fleet, **kw):
-    """Several routers over one script: each gets its turn of n arrivals; returns the sends by server."""
-    benches = [Bench(fleet=fleet, seed=seed, instances=routers, **kw) for seed in range(routers)]
+def arrivals(count, every, routers, fleet, **changes):
+    """Send requests to several routers in turn, one each `every` seconds; returns routers and sends."""
+    benches = [Bench(fleet=fleet, seed=seed, instances=routers, **changes) for seed in range(routers)]
     sends = []
-    for k in range(n):
-        b = benches[k % routers]
-        b.tick(100.0 + k * every)
-        sends += only(b.arrive(f"r{k}", prompt_tokens=800.0), Send)
-        if b.attempts.get(f"r{k}"):
-            b.now += 0.01
-            n_out = len(b.attempts[f"r{k}"]) - 1
-            done = AttemptEnded(f"r{k}", n_out, b.attempts[f"r{k}"][n_out], Outcome.READ, 0.01, False)
-            sends += only(b.do(done), Send)
+    for number in range(count):
+        bench = benches[number % routers]
+        bench.tick(100.0 + number * every)
+        sends += only(bench.arrive(f"r{number}", prompt_tokens=800.0), Send)
+        if bench.attempts.get(f"r{number}"):
+            bench.now += 0.01
+            attempt = len(bench.attempts[f"r{number}"]) - 1
+            done = AttemptEnded(
+                f"r{number}", attempt, bench.attempts[f"r{number}"][attempt], Outcome.READ, 0.01, False
+            )
+            sends += only(bench.do(done), Send)
     return benches, sends
 
 
-def test_all_routers_together_spare_a_cold_server():
-    """A floor for each router added up to four times what a cold server can do (thess-north-later big-2)."""
+def test_all_routers_together_stay_within_a_cold_servers_capacity():
+    """A minimum rate for each router would add up to four times what a cold server can take."""
     routers, rate = 40, 40.0
     warm = tuple(server(n, 1) for n in range(11, 21))
     fleet = (*[server(n, 0) for n in range(1, 6)], *warm, server(30, 1, started=100.0))
     _, sends = arrivals(400, 1 / rate, routers, fleet)
     cold = sum(s.server == 30 for s in sends)
-    a_warm_one = sum(s.server in {w.id for w in warm} for s in sends) / len(warm)
-    assert 0 < cold < 2.5 * 0.3 * a_warm_one  # multiple x least capacity, against a warm one's sends
+    a_warm_one = sum(s.server in {worker.id for worker in warm} for s in sends) / len(warm)
+    assert 0 < cold < 2.5 * 0.3 * a_warm_one  # fall_multiple x cold_from, relative to a warm server's sends
 
 
-def test_a_mixed_servers_pace_is_not_learnt_from_text_that_others_had_it_keep():
-    """Forty routers place the same beginnings: each took what it had not sent there itself for read anew, and
-    believed in a pace six times the true one, and so in room for reads that made all answers crawl."""
+def test_a_mixed_servers_pace_is_not_learnt_from_cached_tokens():
+    """Forty routers share the servers' caches. If a router counted the tokens that others had cached as read,
+    it would learn a pace six times too fast, and admit so many reads that all answers would slow down."""
     for kept, pace in ((1800, 0.0), (0, 0.2 / 2000)):
-        b = Bench(fleet=(server(21, 2),), instances=40)
-        b.arrive("a", prompt_tokens=2000.0)
-        b.do(StreamStarted("a", 0, 21, 0.2))
-        b.end("a", Outcome.OK, after=2.0, closed=True, note=kept)
-        assert b.c.paces.by_role[Role.MIXED] == pytest.approx(pace)
+        bench = Bench(fleet=(server(21, 2),), instances=40)
+        bench.arrive("a", prompt_tokens=2000.0)
+        bench.do(StreamStarted("a", 0, 21, 0.2))
+        bench.end("a", Outcome.OK, after=2.0, closed=True, note=kept)
+        assert bench.c.paces.by_role[Role.MIXED] == pytest.approx(pace)
 
 
-def test_until_it_is_known_a_mixed_server_reads_no_faster_than_a_reader():
-    b = Bench(fleet=(server(1, 0), server(11, 1), server(21, 2)))
-    b.arrive("a", prompt_tokens=2000.0)
-    if b.attempts["a"] == [21]:
-        b.end("a", Outcome.FULL)
-    b.end("a", Outcome.READ, after=0.3)
-    assert b.c.paces.by_role[Role.MIXED] == b.c.paces.by_role[Role.READER] > 0
+def test_a_mixed_server_has_the_readers_pace_until_its_own_is_known():
+    bench = Bench(fleet=(server(1, 0), server(11, 1), server(21, 2)))
+    bench.arrive("a", prompt_tokens=2000.0)
+    if bench.attempts["a"] == [21]:
+        bench.end("a", Outcome.FULL)
+    bench.end("a", Outcome.READ, after=0.3)
+    assert bench.c.paces.by_role[Role.MIXED] == bench.c.paces.by_role[Role.READER] > 0
 
 
-def test_a_server_that_has_warmed_half_way_is_used_half_way():
-    """Each router's first send waited for its part of a budget that takes longer to come than the warming:
-    new servers idled while the few old ones drowned (join+vast)."""
+def test_a_partly_warm_server_is_used_in_proportion():
+    """If each router's first send waited for its share of the slow-start budget, that would take longer than
+    the warm-up: new servers would stay idle while the few old ones are overloaded."""
     warm = tuple(server(n, 1) for n in range(11, 15))
     parts = []
     for age in (0.0, 6.0):
@@ -396,131 +404,138 @@
     assert parts[0] < 0.5 and 0.5 < parts[1] < 1.0
 
 
-def test_room_is_shared_and_small_parts_are_given_by_chance():
-    """A floor of one stream at each writer let every router fill the fleet (grown deployments)."""
-    b = Bench(report_fields=("memory_share",), may_probe=True, instances=100)
+def test_each_router_counts_only_its_share_of_the_free_room():
+    """If each router counted on at least one stream at each writer, many routers would overfill the fleet."""
+    bench = Bench(report_fields=("memory_share",), may_probe=True, instances=100)
     for wid in (11, 12, 13):
-        b.do(ProbeEnded(wid, True, 0.01, Load(memory_share=0.8)))
-    b.c.room.mean_request_tokens = 1600.0
-    # 100 streams at each, room for 25: a part of .75 for each router.
-    assert b.c._room(Role.WRITER, b.now) < 1.0
+        bench.do(ProbeEnded(wid, True, 0.01, Load(memory_share=0.8)))
+    bench.c.room.mean_request_tokens = 1600.0
+    # 100 streams at each of three writers and room for 25 more: 0.75 for each router.
+    assert bench.c._room(Role.WRITER, bench.now) < 1.0
 
 
-def test_a_pace_from_one_slow_read_does_not_refuse_for_ever():
-    """One read that had queued taught a pace at which nothing was in time (patras-south-later quiet)."""
-    b = Bench()
-    b.arrive("a")
-    b.read("a", after=3.0)
+def test_a_pace_from_one_slow_read_does_not_cause_lasting_refusals():
+    """A pace learnt from one read that had queued could refuse all turns, so that none corrects it."""
+    bench = Bench()
+    bench.arrive("a")
+    bench.read("a", after=3.0)
     sent = 0
     for n in range(30):
-        b.tick(b.now + 1.0)
-        if only(b.arrive(f"r{n}"), Send):
-            b.read(f"r{n}", after=0.02)
+        bench.tick(bench.now + 1.0)
+        if only(bench.arrive(f"r{n}"), Send):
+            bench.read(f"r{n}", after=0.02)
             sent += 1
     assert sent > 5
-    b.c.paces.samples, before = 50, dict(b.c.paces.by_role)
-    b.c.waits.by_role[Role.READER].value, b.c.waits.by_role[Role.READER].at = 9.0, b.now
-    b.arrive("late")
-    assert b.c.paces.by_role == before  # not one that many reads taught: it fell to nothing under load
+    bench.c.paces.samples, before = 50, dict(bench.c.paces.by_role)
+    bench.c.waits.by_role[Role.READER].value, bench.c.waits.by_role[Role.READER].at = 9.0, bench.now
+    bench.arrive("late")
+    assert (
+        bench.c.paces.by_role == before
+    )  # a pace from many reads stays, as it would fall to nothing under load
 
 
-def test_probes_follow_traffic_and_not_the_fleet():
-    """Every router probed every server in step, probes over the cap were lost, and all ejected."""
+def test_probes_grow_with_traffic_and_not_with_the_fleet():
+    """If all routers probed all servers at once, probes would be lost and all servers ejected."""
     fleet = tuple(server(n, n % 2) for n in range(60))
-    b = Bench(fleet=fleet, report_fields=("memory_share",), may_probe=True, instances=100)
+    bench = Bench(fleet=fleet, report_fields=("memory_share",), may_probe=True, instances=100)
     probes = 0
     for n in range(10):
-        probes += len(only(b.arrive(f"r{n}"), Probe)) + len(only(b.tick(b.now + 1.0), Probe))
+        probes += len(only(bench.arrive(f"r{n}"), Probe)) + len(only(bench.tick(bench.now + 1.0), Probe))
     assert 0 < probes <= 10 * 3.5 + 6
 
 
-def test_a_cells_writers_take_no_more_than_their_part():
-    """Near writers filled while far ones were free, for no router saw their waits (patras)."""
+def test_a_cells_writers_get_no_more_than_their_share():
+    """Otherwise near writers fill up while others are free, as no router sees many of their waits."""
     readers = tuple(server(n, 0, cell=1) for n in range(1, 5))
     far = (server(5, 0, cell=2), *[server(n, 1, cell=2) for n in (12, 13, 14)])
     fleet = (*readers, server(11, 1, cell=1), *far)
-    b = Bench(fleet=fleet)
-    home = b.c.workers[1]
-    near = sum(w.info.cell == 1 for _ in range(400) for w in b.c._draw_writers(b_request(b), home, b.now))
-    drawn = sum(len(b.c._draw_writers(b_request(b), home, b.now)) for _ in range(400))
-    assert near / drawn < 0.5  # a quarter of the writers stand beside four fifths of the readers
-
-
-def b_request(b):
-    b.arrive("probe")
-    return b.c.requests["probe"] if "probe" in b.c.requests else next(iter(b.c.requests.values()))
-
-
-def test_lost_answers_do_not_pass_for_a_crowd():
-    b = Bench()
-    w = b.c.workers[11]
+    bench = Bench(fleet=fleet)
+    home = bench.c.workers[1]
+    near = sum(
+        worker.info.cell == 1
+        for _ in range(400)
+        for worker in bench.c._draw_writers(any_request(bench), home, bench.now)
+    )
+    drawn = sum(len(bench.c._draw_writers(any_request(bench), home, bench.now)) for _ in range(400))
+    assert near / drawn < 0.5  # the cell has a quarter of the writers and four fifths of the readers
+
+
+def any_request(bench):
+    """A request that is under way."""
+    bench.arrive("probe")
+    return bench.c.requests["probe"] if "probe" in bench.c.requests else next(iter(bench.c.requests.values()))
+
+
+def test_lost_answers_do_not_raise_a_roles_wait():
+    bench = Bench()
+    worker = bench.c.workers[11]
     for n in range(20):
-        b.c._learn_wait(w, 2.0 if n % 4 == 0 else 0.05, b.now)
-    assert b.c.waits.by_role[Role.WRITER].decayed(b.now, 6.0) < 0.4
+        bench.c._learn_wait(worker, 2.0 if n % 4 == 0 else 0.05, bench.now)
+    assert bench.c.waits.by_role[Role.WRITER].decayed(bench.now, 6.0) < 0.4
 
 
-def test_a_small_tenant_at_one_of_many_routers_is_within_its_share():
-    """A bucket of its part of the quota held less than one turn, so every turn counted as over share."""
-    b = Bench(tenants=(Tenant(quota_per_s=9.0),), instances=100)
-    b.arrive("a")
-    assert not b.c.requests["a"].over_quota
+def test_a_small_tenant_at_one_of_many_routers_is_within_its_quota():
+    """A bucket of only the router's share would hold less than one turn, and all would exceed it."""
+    bench = Bench(tenants=(Tenant(quota_per_s=9.0),), instances=100)
+    bench.arrive("a")
+    assert not bench.c.requests["a"].over_quota
     for n in range(20):
-        b.arrive(f"r{n}")
-    assert b.c.requests["r19"].over_quota
+        bench.arrive(f"r{n}")
+    assert bench.c.requests["r19"].over_quota
 
 
-def test_a_turn_that_cannot_be_repeated_keeps_clear_of_a_server_that_failed():
-    # Each look at a server that fails all it gets cost such a turn, which is lost with it.
+def test_unsafe_requests_avoid_a_server_that_failed():
+    # Each attempt to find out whether the server has recovered would lose an unsafe request.
     fleet = (server(1, 0), server(11, 1), server(12, 1))
-    b = Bench(fleet, effect=Effect.UNSAFE)
-    b.arrive("a")
-    (first,) = only(b.read("a"), Send)
-    b.end("a", Outcome.FAILED)
+    bench = Bench(fleet, effect=Effect.UNSAFE)
+    bench.arrive("a")
+    (first,) = only(bench.read("a"), Send)
+    bench.end("a", Outcome.FAILED)
     for n in range(12):
-        b.arrive(f"b{n}")
-        (send,) = only(b.read(f"b{n}"), Send)
+        bench.arrive(f"b{n}")
+        (send,) = only(bench.read(f"b{n}"), Send)
         assert send.server != first.server
-        b.do(StreamStarted(f"b{n}", 1, send.server, 0.1))
-        b.end(f"b{n}", Outcome.OK, closed=True)
-    b.now += 31.0  # where nothing can be repeated nobody else would find out that it is well again
+        bench.do(StreamStarted(f"b{n}", 1, send.server, 0.1))
+        bench.end(f"b{n}", Outcome.OK, closed=True)
+    bench.now += 31.0  # without safe requests nothing else would find out that it has recovered
     seen = set()
     for n in range(12):
-        b.arrive(f"c{n}")
-        seen.add(only(b.read(f"c{n}"), Send)[0].server)
+        bench.arrive(f"c{n}")
+        seen.add(only(bench.read(f"c{n}"), Send)[0].server)
     assert first.server in seen
 
 
-def test_a_server_that_is_gone_for_long_is_forgotten():
-    b = Bench()
-    b.do(ServersListed(ListKind.CHANGES, (server(13, 1, state=ServerState.GONE),)))
-    b.tick(b.now + 29.0)
-    assert 13 in b.c.workers
-    b.tick(b.now + 2.0)
-    assert 13 not in b.c.workers
+def test_a_server_that_has_been_gone_for_long_is_forgotten():
+    bench = Bench()
+    bench.do(ServersListed(ListKind.CHANGES, (server(13, 1, state=ServerState.GONE),)))
+    bench.tick(bench.now + 29.0)
+    assert 13 in bench.c.workers
+    bench.tick(bench.now + 2.0)
+    assert 13 not in bench.c.workers
 
 
-def test_a_stream_that_comes_back_is_not_refused_for_being_late():
-    # All that it had streamed was lost with a refusal, for want of a first token in time.
-    b = Bench()
-    for w in b.c.workers.values():
-        w.limit = 0.0
-    b.arrive("busy")
-    b.arrive("new")
-    b.arrive("back", resumed=True)
-    assert [r.id for r in only(b.tick(b.now + 1.5), Refuse)] == ["new"]
+def test_a_resumed_stream_is_not_refused_for_being_late():
+    # A refusal would lose all that was streamed before.
+    bench = Bench()
+    for worker in bench.c.workers.values():
+        worker.limit = 0.0
+    bench.arrive("busy")
+    bench.arrive("new")
+    bench.arrive("back", resumed=True)
+    assert [r.id for r in only(bench.tick(bench.now + 1.5), Refuse)] == ["new"]
 
 
-def test_some_clients_that_leave_do_not_bound_the_aim_of_the_others():
-    # One in four left, and a fifth of all turns were refused, most of them for clients who would have waited.
-    b = Bench()
+def test_a_few_clients_that_leave_do_not_bound_the_aim_of_the_others():
+    # One client in four left, and a fifth of all turns were refused, most for clients that would have waited.
+    bench = Bench()
     for n in range(80):
-        b.arrive(f"r{n}")
+        bench.arrive(f"r{n}")
         if n % 4:
-            b.read(f"r{n}", after=0.01)
-            b.do(StreamStarted(f"r{n}", 1, b.attempts[f"r{n}"][1], 0.02))
+            bench.read(f"r{n}", after=0.01)
+            bench.do(StreamStarted(f"r{n}", 1, bench.attempts[f"r{n}"][1], 0.02))
         else:
-            b.now += 0.1
-            b.do(ClientGone(f"r{n}"))
-            b.end(f"r{n}", Outcome.CANCELED, after=0.0)
-    b.arrive("x")
-    assert b.c.requests["x"].first_token_due - b.now == pytest.approx(1.04)
+            bench.now += 0.1
+            bench.do(ClientGone(f"r{n}"))
+            bench.end(f"r{n}", Outcome.CANCELED, after=0.0)
+    bench.arrive("x")
+    assert bench.c.requests["x"].first_token_due - bench.now == pytest.approx(1.04)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions stay the same: the module's actions on a recorded stream of events, step by step."""
+"""The controller's actions on recorded streams of events stay the same, step by step."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 
 
 @pytest.mark.parametrize("name", decision_stream.STREAMS)
-def test_the_recorded_events_lead_to_the_recorded_actions(name: str) -> None:
-    wanted, found = decision_stream.recorded()[name], decision_stream.digests(name)
-    assert len(wanted) == len(found) == decision_stream.STEPS
-    differs = next((n for n, pair in enumerate(zip(wanted, found, strict=True)) if len(set(pair)) > 1), None)
-    assert differs is None, f"{name}: step {differs} decides otherwise"
+def test_recorded_events_lead_to_the_recorded_actions(name: str) -> None:
+    expected, found = decision_stream.recorded()[name], decision_stream.digests(name)
+    assert len(expected) == len(found) == decision_stream.STEPS
+    differs = next(
+        (n for n, pair in enumerate(zip(expected, found, strict=True)) if len(set(pair)) > 1), None
+    )
+    assert differs is None, f"{name}: other actions from step {differs} on"
 
 
 CHANGED = [
@@ -30,7 +32,7 @@
 
 
 @pytest.mark.parametrize(("module", "constant", "value"), CHANGED)
-def test_one_changed_constant_is_noticed(
+def test_a_changed_constant_changes_the_recorded_actions(
     monkeypatch: pytest.MonkeyPatch, module: ModuleType, constant: str, value: float
 ) -> None:
     assert getattr(module, constant) != value
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules over random event orders. The checker is also shown to fail on broken controllers."""
+"""Rules that hold in all event orders, checked on random ones; broken controllers show that checks fail."""
 
 from __future__ import annotations
 
@@ -23,105 +23,114 @@
     ServerState,
 )
 
-ENDS = [o for o in Outcome if o is not Outcome.READ]
+ENDS = [outcome for outcome in Outcome if outcome is not Outcome.READ]
 
 
 class Broken(Exception):
-    pass
+    """A rule does not hold."""
 
 
 class World:
-    """Plays choices against a controller and raises Broken when a rule does not hold."""
+    """Applies steps to a controller and raises Broken when a rule does not hold."""
 
     def __init__(self, effect=Effect.SAFE, make=Controller):
-        self.b = Bench(effect=effect, group=Group.CELL, make=make, memory_tokens=(9000.0,) * 3)
-        self.told = {}  # server -> when we said that it drains
-        self.open, self.deadline, self.out, self.held, self.may_run = set(), {}, {}, {}, {}
-        self.n = 0
-
-    def note(self, acts):
-        now = self.b.now
-        for a in acts:
-            if isinstance(a, Send):
-                if a.id not in self.open:
+        self.bench = Bench(effect=effect, group=Group.CELL, make=make, memory_tokens=(9000.0,) * 3)
+        self.draining = {}  # server -> when the controller was told that it drains
+        self.open = set()  # requests that are owed an answer
+        self.deadline = {}  # request -> its deadline
+        self.out = {}  # request -> number and server of its attempt in flight
+        self.held = {}  # request -> since when its state is held
+        self.may_run = {}  # request -> whether an attempt may have had an effect that must not be repeated
+        self.count = 0  # requests so far
+
+    def note(self, actions):
+        """Check the actions, and what is overdue."""
+        now = self.bench.now
+        for action in actions:
+            if isinstance(action, Send):
+                if action.id not in self.open:
                     raise Broken("send after the end")
-                if self.out.get(a.id):
-                    raise Broken("second attempt out")
-                if a.server in self.told:
+                if self.out.get(action.id):
+                    raise Broken("second attempt in flight")
+                if action.server in self.draining:
                     raise Broken("send to a draining server")
-                if self.may_run.get(a.id):
+                if self.may_run.get(action.id):
                     raise Broken("effect may happen twice")
-                n = len(self.b.attempts[a.id]) - 1
-                self.out[a.id] = (n, a.server)
-                self.held.pop(a.id, None)
-            elif isinstance(a, (Refuse, Fail)):
-                if a.id not in self.open:
+                number = len(self.bench.attempts[action.id]) - 1
+                self.out[action.id] = (number, action.server)
+                self.held.pop(action.id, None)
+            elif isinstance(action, (Refuse, Fail)):
+                if action.id not in self.open:
                     raise Broken("second answer")
-                if isinstance(a, Refuse) and self.may_run.get(a.id):
+                if isinstance(action, Refuse) and self.may_run.get(action.id):
                     raise Broken("refused what may have run")
-                self.open.discard(a.id)
-            elif isinstance(a, ReleaseState):
-                self.held.pop(a.id, None)
-        for rid in list(self.open):
-            if now > self.deadline[rid] + 0.008:
+                self.open.discard(action.id)
+            elif isinstance(action, ReleaseState):
+                self.held.pop(action.id, None)
+        for request in list(self.open):
+            if now > self.deadline[request] + 0.008:
                 raise Broken("lost request")
-        for rid, since in self.held.items():
-            if not self.out.get(rid) and now - since > 0.5:
-                raise Broken("pinned state")
+        for request, since in self.held.items():
+            if not self.out.get(request) and now - since > 0.5:
+                raise Broken("state not released")
 
     def arrive(self, patience):
-        self.n += 1
-        rid = f"r{self.n}"
-        self.open.add(rid)
-        self.deadline[rid] = self.b.now + patience
-        self.note(self.b.arrive(rid, session=f"s{self.n % 4}", patience=patience))
+        """A request arrives."""
+        self.count += 1
+        request = f"r{self.count}"
+        self.open.add(request)
+        self.deadline[request] = self.bench.now + patience
+        self.note(self.bench.arrive(request, session=f"s{self.count % 4}", patience=patience))
 
     def end(self, pick, outcome):
+        """One of the attempts in flight ends."""
         if not self.out:
             return
-        rid = sorted(self.out)[pick % len(self.out)]
-        n, srv = self.out.pop(rid)
-        reader = srv < 10
+        request = sorted(self.out)[pick % len(self.out)]
+        number, sent_to = self.out.pop(request)
+        reader = sent_to < 10
         if reader:
             outcome = Outcome.READ if outcome is Outcome.OK else outcome
             if outcome is Outcome.READ:
-                self.held[rid] = self.b.now
+                self.held[request] = self.bench.now
         elif not outcome.never_ran:
-            self.may_run[rid] = self.b.c.settings.classes[0].effect is Effect.UNSAFE
-        closed = outcome is Outcome.OK or rid not in self.open
+            self.may_run[request] = self.bench.c.settings.classes[0].effect is Effect.UNSAFE
+        closed = outcome is Outcome.OK or request not in self.open
         if outcome is Outcome.OK:
-            self.open.discard(rid)
-            self.held.pop(rid, None)
-        self.note(self.b.do(AttemptEnded(rid, n, srv, outcome, 0.05, closed)))
+            self.open.discard(request)
+            self.held.pop(request, None)
+        self.note(self.bench.do(AttemptEnded(request, number, sent_to, outcome, 0.05, closed)))
 
     def gone(self, pick):
+        """The client of an open request leaves."""
         if self.open:
-            rid = sorted(self.open)[pick % len(self.open)]
-            self.open.discard(rid)
-            self.note(self.b.do(ClientGone(rid)))
+            request = sorted(self.open)[pick % len(self.open)]
+            self.open.discard(request)
+            self.note(self.bench.do(ClientGone(request)))
 
     def drain(self, pick):
-        srv = FLEET[pick % len(FLEET)]
-        self.told[srv.id] = self.b.now
-        gone = server(srv.id, srv.kind, state=ServerState.DRAINING)
-        self.note(self.b.do(ServersListed(ListKind.CHANGES, (gone,))))
+        """A server begins to drain."""
+        info = FLEET[pick % len(FLEET)]
+        self.draining[info.id] = self.bench.now
+        drained = server(info.id, info.kind, state=ServerState.DRAINING)
+        self.note(self.bench.do(ServersListed(ListKind.CHANGES, (drained,))))
 
     def wait(self, seconds):
-        """Time passes; attempts end by their client's deadline, as a host would end them."""
-        end = self.b.now + seconds
-        while self.b.now < end:
-            for rid in [r for r in sorted(self.out) if self.deadline[r] <= self.b.now]:
-                self.end(sorted(self.out).index(rid), Outcome.TIMED_OUT)
+        """Time passes; attempts end at their client's deadline, as a router would end them."""
+        end = self.bench.now + seconds
+        while self.bench.now < end:
+            for request in [one for one in sorted(self.out) if self.deadline[one] <= self.bench.now]:
+                self.end(sorted(self.out).index(request), Outcome.TIMED_OUT)
             step = min(
                 end,
-                self.b.timer[0],
-                *(self.deadline[r] for r in self.out if self.deadline[r] > self.b.now),
+                self.bench.timer[0],
+                *(self.deadline[one] for one in self.out if self.deadline[one] > self.bench.now),
                 end,
             )
-            self.b.now = step
-            for rid in [r for r in sorted(self.out) if self.deadline[r] <= self.b.now]:
-                self.end(sorted(self.out).index(rid), Outcome.TIMED_OUT)
-            self.note(self.b.tick(step))
+            self.bench.now = step
+            for request in [one for one in sorted(self.out) if self.deadline[one] <= self.bench.now]:
+                self.end(sorted(self.out).index(request), Outcome.TIMED_OUT)
+            self.note(self.bench.tick(step))
 
 
 STEP = st.one_of(
@@ -134,6 +143,7 @@
 
 
 def run(world, steps):
+    """Apply the steps, then wait until all requests should have ended."""
     for name, *args in steps:
         if name == "end" and args[1] is Outcome.READ:
             args[1] = Outcome.OK
@@ -188,7 +198,11 @@
 
 
 CASES = [
-    (KeepsStates, "pinned", [("arrive", 2.0), ("gone", 0), ("end", 0, Outcome.OK), ("wait", 1.0)]),
+    (
+        KeepsStates,
+        "state not released",
+        [("arrive", 2.0), ("gone", 0), ("end", 0, Outcome.OK), ("wait", 1.0)],
+    ),
     (IgnoresTimeouts, "lost", [*[("arrive", 2.0)] * 60, ("arrive", 0.3), ("wait", 1.0)]),
     (IgnoresChanges, "draining", [*[("drain", n) for n in (0, 1, 2)], ("arrive", 2.0)]),
     (SendsAnyway, "twice", [("arrive", 2.0), ("end", 0, Outcome.OK), ("end", 0, Outcome.FAILED)]),
