--- a/hopshed/control.py
+++ b/hopshed/control.py
@@ -45,7 +45,7 @@
 MIXED_READ_SHARE = 0.6  # share of their time that mixed servers may spend on reading
 LEAVE_GAIN = 0.05  # weight of one client that leaves, or stays, in the share of clients that leave
 LEAVE_FADE = 0.0125  # the same of a request that is not served
-LEAVE_SHARE = 0.5  # share of leaving clients above which their age bounds the aim; a lower one hurts the rest
+LEAVE_SHARE = 0.5  # share of leaving clients above which their age bounds the aim, to spare those that stay
 SPARE_HOMES = 2  # readers beyond a prefix's homes that a turn may go to
 ACCEPT_SHARE = 0.6  # share of the time left; a reader expected to take no more is accepted at once
 AIM_MARGIN = 0.6  # share of the aim that an expected read may take, as estimates err and many would be late
@@ -93,7 +93,7 @@
         self.topology = Topology()
         self.room = FreeRoom(settings, self.topology)
         self.level = interface.ServiceLevel()
-        self.read_load = {role: Estimate() for role in Role}  # server seconds a second that our reads take
+        self.read_load = {role: Estimate() for role in Role}  # of this router's reads; seconds per second
         self.popularity, self.slow_start, self.zones = Popularity(), SlowStart(settings), ZoneReachability()
         self.paces, self.prefix_cache = ReadPaces(), PrefixCacheIndex()
         self.mean_prompt_tokens = self.mean_fresh_tokens = 0.0  # fresh tokens are those not found cached
@@ -218,7 +218,7 @@
         self.topology.rebuild(self.workers.values())
 
     def _refresh_home_weights(self) -> None:
-        """Compute the weights of homes anew if the server list has changed."""
+        """Recompute the weights of homes if the server list has changed."""
         if not self.home_weights_stale:
             return
         self.home_weights_stale = False
@@ -554,7 +554,7 @@
         """The reader for a turn, and the share of the time until `due` that its read is expected to take.
 
         The session's last reader, else its home, else the next in hash order, none above READ_BOUND.
-        Departure: if all take over ACCEPT_SHARE, the fastest candidate, as others would read it all anew."""
+        Departure: if all take over ACCEPT_SHARE, the fastest candidate, as others would read all of it."""
         pool = self.pool(Role.MIXED if mixed else Role.READER, now, request)
         if mixed:  # a home must not take reads beyond its room, which would slow all its answers
             pool = self.room.with_room(pool, now) or pool
@@ -624,8 +624,8 @@
         return self.random.sample(pool, 2) if len(pool) > 1 else pool
 
     def _writer(self, request: Request, now: float) -> Worker | None:
-        """Of two random writers the one with fewer of our streams. Departure: if load is reported, they were
-        drawn and probed as the read began, and free room decides: one router has few streams at each."""
+        """Of two random writers the one with fewer streams of this router. Departure: if load is reported,
+        they were drawn and probed as the read began, and free room decides, as one router has few streams."""
         tried = [attempt.server for attempt in request.attempts]
         two = [w for w in request.writer_pair if w not in tried and self._usable(w, now, request)]
         two = [worker for worker in two if not self.health.is_suspect(worker, now)]
--- a/hopshed/fleet.py
+++ b/hopshed/fleet.py
@@ -26,7 +26,7 @@
         self._gone: dict[int, Worker] = {}
 
     def rebuild(self) -> None:
-        """Build the index anew, after a full list."""
+        """Rebuild the index after a full list."""
         workers = list(self.workers.values())
         for role in Role:
             self.by_role[role] = [worker for worker in workers if worker.role is role]
@@ -48,7 +48,7 @@
             ]
 
     def _update_one(self, worker: Worker) -> set[Role]:
-        """Index one server; returns its role if `running` has to be built anew."""
+        """Index one server; returns its role if `running` has to be rebuilt."""
         number, runs = worker.info.id, worker.info.state is ServerState.RUNNING
         if worker.gone_at < math.inf:
             self._gone[number] = worker
--- a/hopshed/free_room.py
+++ b/hopshed/free_room.py
@@ -45,9 +45,9 @@
     def of_server(self, worker: Worker, now: float) -> float | None:
         """Free room at a server; None if its load report is missing or too old.
 
-        With reports it is in-flight x (1 - u) / u, less our sends since the report, where u is the higher of
-        the utilization and the memory share, as slots stay free where memory is the limit. Drag reduces the
-        room at servers that are slower than others.
+        With reports it is in-flight x (1 - u) / u, less this router's sends since the report, where u is the
+        higher of the utilization and the memory share, as slots stay free where memory is the limit. Drag
+        reduces the room at servers that are slower than others.
         """
         if not self._reported:
             return self.stream_limit(worker) - worker.streams
@@ -57,15 +57,15 @@
             return -float(worker.sends_since_load)
         used = min(1.0, max(load.utilization or 0.0, load.memory_share or 0.0, MIN_UTILIZATION))
         return (
-            self._our_share(worker) * (1 - used) / used / max(1.0, worker.drag) ** 2 - worker.sends_since_load
+            self._own_share(worker) * (1 - used) / used / max(1.0, worker.drag) ** 2 - worker.sends_since_load
         )
 
-    def _our_share(self, worker: Worker) -> float:
+    def _own_share(self, worker: Worker) -> float:
         """This router's share of the requests in flight at a server.
 
-        From the report, else the highest of our streams there, our mean over its peers, and the requests that
-        fit in the memory in use. One of many routers has one stream or none there, and a minimum of one each
-        would add up to many times the room.
+        From the report, else the highest of its streams there, its mean over the role's servers, and the
+        requests that fit in the memory in use. One of many routers has one stream there or none; a minimum
+        of one each would add up to many times the room.
         """
         if worker.load is not None and worker.load.in_flight is not None:
             return worker.load.in_flight / self._settings.instances
@@ -114,7 +114,7 @@
         return [
             worker
             for worker, room in rooms
-            if room is None or room >= 1.0 or room >= min(1.0, self._our_share(worker))
+            if room is None or room >= 1.0 or room >= min(1.0, self._own_share(worker))
         ]
 
     def _at_each(self, pool: Sequence[Worker], now: float) -> list[float | None]:
