--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,7 +77,7 @@
         **changes: Any,
     ) -> None:
         """`changes` replaces fields of the settings."""
-        self.c = make(settings(**changes), seed)  # the controller
+        self.controller = make(settings(**changes), seed)  # the controller
         self.now = 100.0
         self.attempts: dict[str, list[int]] = {}  # request -> the servers it was sent to
         self.timer = (0.0, 0)  # when it fires, and its token
@@ -88,7 +88,7 @@
         """Handle events now, or `at` a later time; returns the actions without timers."""
         if at is not None:
             self.now = at
-        actions = self.c.handle(self.now, list(events))
+        actions = self.controller.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, Send):
                 self.attempts.setdefault(action.id, []).append(action.server)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -65,10 +65,10 @@
     full = Bench(memory_tokens=(), max_attempts=9)
     for n in range(40):
         full.arrive(f"fill{n}", patience=30.0)
-    assert full.c.queue.count > 0
+    assert full.controller.queue.count > 0
     old, new = Bench(), Bench()
     for bench, wait in ((old, 10.0), (new, 0.0)):
-        controller = bench.c
+        controller = bench.controller
         controller.sessions.clear()
         heavy = Session()
         heavy.cst, heavy.at = 1.0, bench.now
@@ -82,13 +82,15 @@
         controller.sessions["light"] = light
         bench.now += wait
         bench.arrive("l", session="light", patience=60.0)
-    assert new.c.queue.pop(new.now).event.id == "l" or new.c.queue.pop(new.now).event.id == "l"
-    assert old.c.queue.pop(old.now).event.id == "h"
+    assert (
+        new.controller.queue.pop(new.now).event.id == "l" or new.controller.queue.pop(new.now).event.id == "l"
+    )
+    assert old.controller.queue.pop(old.now).event.id == "h"
 
 
 def test_a_held_request_that_cannot_meet_its_aim_is_refused_early():
     bench = Bench()
-    for worker in bench.c.workers.values():
+    for worker in bench.controller.workers.values():
         worker.limit = 0.0
     bench.arrive("busy")  # with no attempt in flight, one turn is always admitted
     assert only(bench.arrive("a"), Send) == []
@@ -98,7 +100,7 @@
 
 def test_a_client_with_less_time_than_a_tick_is_answered_at_once():
     bench = Bench()
-    for worker in bench.c.workers.values():
+    for worker in bench.controller.workers.values():
         worker.limit = 0.0
     bench.arrive("busy")
     assert [r.id for r in only(bench.arrive("a", patience=0.017), Refuse)] == ["a"]
@@ -196,19 +198,23 @@
     bench.arrive("b", session="k")
     if bench.attempts["b"][0] == bad:
         bench.end("b", Outcome.FAILED)
-    assert not bench.c._usable(bench.c.workers[bad], bench.now)
-    assert bench.c._usable(bench.c.workers[bad], bench.now + 20)
+    assert not bench.controller._usable(bench.controller.workers[bad], bench.now)
+    assert bench.controller._usable(bench.controller.workers[bad], bench.now + 20)
 
 
 def test_ejection_leaves_some_servers_of_each_role():
     bench = Bench()
-    for worker in list(bench.c.workers.values()):
-        bench.c._eject(worker, bench.now, silent=False)
+    for worker in list(bench.controller.workers.values()):
+        bench.controller._eject(worker, bench.now, silent=False)
     assert any(
-        bench.c._usable(worker, bench.now) for worker in bench.c.workers.values() if worker.info.id in READERS
+        bench.controller._usable(worker, bench.now)
+        for worker in bench.controller.workers.values()
+        if worker.info.id in READERS
     )
     assert any(
-        bench.c._usable(worker, bench.now) for worker in bench.c.workers.values() if worker.info.id in WRITERS
+        bench.controller._usable(worker, bench.now)
+        for worker in bench.controller.workers.values()
+        if worker.info.id in WRITERS
     )
 
 
@@ -244,19 +250,19 @@
 
 def test_room_formula_from_reports():
     bench = Bench(report_fields=("utilization", "queued", "memory_share"), may_probe=True)
-    worker = bench.c.workers[11]
+    worker = bench.controller.workers[11]
     worker.streams = 10
     bench.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5, queued=0.0, memory_share=0.3)))
-    assert bench.c.room.of_server(worker, bench.now) == pytest.approx(10.0)
+    assert bench.controller.room.of_server(worker, bench.now) == pytest.approx(10.0)
     bench.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5, queued=0.0, memory_share=0.95)))
-    assert bench.c.room.of_server(worker, bench.now) <= 0
+    assert bench.controller.room.of_server(worker, bench.now) <= 0
 
 
 def test_admission_is_limited_without_load_reports():
     bench = Bench(memory_tokens=(20000.0,) * 3)
     for n in range(60):
         bench.arrive(f"r{n}")
-    assert 0 < bench.c.queue.count < 60
+    assert 0 < bench.controller.queue.count < 60
 
 
 def test_impossible_settings_are_refused():
@@ -274,20 +280,20 @@
         bench.do(ClientGone(f"r{n}"))
         bench.end(f"r{n}", Outcome.CANCELED, after=0.0)
     bench.arrive("x")
-    assert bench.c.requests["x"].first_token_due - bench.now < 0.7
+    assert bench.controller.requests["x"].first_token_due - bench.now < 0.7
     for n in range(80):
         bench.arrive(f"s{n}")
         bench.read(f"s{n}", after=0.01)
         bench.do(StreamStarted(f"s{n}", 1, bench.attempts[f"s{n}"][1], 0.02))
     bench.arrive("y")
-    assert bench.c.requests["y"].first_token_due - bench.now == pytest.approx(1.04)
+    assert bench.controller.requests["y"].first_token_due - bench.now == pytest.approx(1.04)
 
 
 def test_lost_probes_eject_a_hung_server_but_not_a_busy_one():
     """Probes wait behind other work, so lost probes alone would eject busy readers."""
     for wait, silent in ((1.0, False), (0.0, True)):
         bench = Bench(may_probe=True)
-        worker = bench.c.workers[1]
+        worker = bench.controller.workers[1]
         worker.wait, worker.life = wait, bench.now
         bench.now += 0.9
         bench.do(ProbeEnded(1, False, 0.25))
@@ -299,31 +305,31 @@
     bench = Bench()
     home = only(bench.arrive("a", session="k"), Send)[0].server
     bench.read("a")
-    worker = bench.c.workers[home]
+    worker = bench.controller.workers[home]
     worker.wait, worker.wait_at = 5.0, bench.now
     assert only(bench.arrive("b", session="k"), Send)[0].server != home
 
 
 def test_slow_streams_reduce_a_servers_room():
     bench = Bench(report_fields=("utilization",))
-    worker = bench.c.workers[11]
+    worker = bench.controller.workers[11]
     worker.streams = 10
     bench.do(ProbeEnded(11, True, 0.01, Load(utilization=0.5)))
-    before = bench.c.room.of_server(worker, bench.now)
+    before = bench.controller.room.of_server(worker, bench.now)
     worker.drag = 2.0
-    assert bench.c.room.of_server(worker, bench.now) < before / 2
+    assert bench.controller.room.of_server(worker, bench.now) < before / 2
 
 
 def test_many_slow_first_tokens_lower_the_limit_once():
     """If each lowered it further, one slow moment would stop admission for seconds."""
     bench = Bench()
-    worker = bench.c.workers[11]
+    worker = bench.controller.workers[11]
     worker.streams, worker.limit = 20, 100.0
-    bench.c.room.lower_limit(worker)
-    once = bench.c.room.stream_limit(worker)
+    bench.controller.room.lower_limit(worker)
+    once = bench.controller.room.stream_limit(worker)
     for _ in range(10):
-        bench.c.room.lower_limit(worker)
-    assert once == bench.c.room.stream_limit(worker) == pytest.approx(21 * 0.85)
+        bench.controller.room.lower_limit(worker)
+    assert once == bench.controller.room.stream_limit(worker) == pytest.approx(21 * 0.85)
 
 
 def test_a_hung_writer_is_ejected_though_it_answers_probes_but_a_reader_is_not():
@@ -333,7 +339,7 @@
         bench.arrive("a")
         if stage == "write":
             bench.read("a")
-        worker = bench.c.workers[bench.attempts["a"][-1]]
+        worker = bench.controller.workers[bench.attempts["a"][-1]]
         for _ in range(38):
             bench.tick(bench.now + 0.05)
             if worker.probe_in_flight:
@@ -373,12 +379,12 @@
 def test_a_mixed_servers_pace_is_not_learnt_from_cached_tokens():
     """Forty routers share the servers' caches. If a router counted the tokens that others had cached as read,
     it would learn a pace six times too fast, and admit so many reads that all answers would slow down."""
-    for kept, pace in ((1800, 0.0), (0, 0.2 / 2000)):
+    for cached, pace in ((1800, 0.0), (0, 0.2 / 2000)):
         bench = Bench(fleet=(server(21, 2),), instances=40)
         bench.arrive("a", prompt_tokens=2000.0)
         bench.do(StreamStarted("a", 0, 21, 0.2))
-        bench.end("a", Outcome.OK, after=2.0, closed=True, note=kept)
-        assert bench.c.paces.by_role[Role.MIXED] == pytest.approx(pace)
+        bench.end("a", Outcome.OK, after=2.0, closed=True, note=cached)
+        assert bench.controller.paces.by_role[Role.MIXED] == pytest.approx(pace)
 
 
 def test_a_mixed_server_has_the_readers_pace_until_its_own_is_known():
@@ -387,7 +393,7 @@
     if bench.attempts["a"] == [21]:
         bench.end("a", Outcome.FULL)
     bench.end("a", Outcome.READ, after=0.3)
-    assert bench.c.paces.by_role[Role.MIXED] == bench.c.paces.by_role[Role.READER] > 0
+    assert bench.controller.paces.by_role[Role.MIXED] == bench.controller.paces.by_role[Role.READER] > 0
 
 
 def test_a_partly_warm_server_is_used_in_proportion():
@@ -409,9 +415,9 @@
     bench = Bench(report_fields=("memory_share",), may_probe=True, instances=100)
     for wid in (11, 12, 13):
         bench.do(ProbeEnded(wid, True, 0.01, Load(memory_share=0.8)))
-    bench.c.room.mean_request_tokens = 1600.0
+    bench.controller.room.mean_request_tokens = 1600.0
     # 100 streams at each of three writers and room for 25 more: 0.75 for each router.
-    assert bench.c._room(Role.WRITER, bench.now) < 1.0
+    assert bench.controller._room(Role.WRITER, bench.now) < 1.0
 
 
 def test_a_pace_from_one_slow_read_does_not_cause_lasting_refusals():
@@ -426,11 +432,14 @@
             bench.read(f"r{n}", after=0.02)
             sent += 1
     assert sent > 5
-    bench.c.paces.samples, before = 50, dict(bench.c.paces.by_role)
-    bench.c.waits.by_role[Role.READER].value, bench.c.waits.by_role[Role.READER].at = 9.0, bench.now
+    bench.controller.paces.samples, before = 50, dict(bench.controller.paces.by_role)
+    bench.controller.waits.by_role[Role.READER].value, bench.controller.waits.by_role[Role.READER].at = (
+        9.0,
+        bench.now,
+    )
     bench.arrive("late")
     assert (
-        bench.c.paces.by_role == before
+        bench.controller.paces.by_role == before
     )  # a pace from many reads stays, as it would fall to nothing under load
 
 
@@ -450,38 +459,42 @@
     far = (server(5, 0, cell=2), *[server(n, 1, cell=2) for n in (12, 13, 14)])
     fleet = (*readers, server(11, 1, cell=1), *far)
     bench = Bench(fleet=fleet)
-    home = bench.c.workers[1]
+    home = bench.controller.workers[1]
     near = sum(
         worker.info.cell == 1
         for _ in range(400)
-        for worker in bench.c._draw_writers(any_request(bench), home, bench.now)
+        for worker in bench.controller._draw_writers(any_request(bench), home, bench.now)
     )
-    drawn = sum(len(bench.c._draw_writers(any_request(bench), home, bench.now)) for _ in range(400))
+    drawn = sum(len(bench.controller._draw_writers(any_request(bench), home, bench.now)) for _ in range(400))
     assert near / drawn < 0.5  # the cell has a quarter of the writers and four fifths of the readers
 
 
 def any_request(bench):
     """A request that is under way."""
     bench.arrive("probe")
-    return bench.c.requests["probe"] if "probe" in bench.c.requests else next(iter(bench.c.requests.values()))
+    return (
+        bench.controller.requests["probe"]
+        if "probe" in bench.controller.requests
+        else next(iter(bench.controller.requests.values()))
+    )
 
 
 def test_lost_answers_do_not_raise_a_roles_wait():
     bench = Bench()
-    worker = bench.c.workers[11]
+    worker = bench.controller.workers[11]
     for n in range(20):
-        bench.c._learn_wait(worker, 2.0 if n % 4 == 0 else 0.05, bench.now)
-    assert bench.c.waits.by_role[Role.WRITER].decayed(bench.now, 6.0) < 0.4
+        bench.controller._learn_wait(worker, 2.0 if n % 4 == 0 else 0.05, bench.now)
+    assert bench.controller.waits.by_role[Role.WRITER].decayed(bench.now, 6.0) < 0.4
 
 
 def test_a_small_tenant_at_one_of_many_routers_is_within_its_quota():
     """A bucket of only the router's share would hold less than one turn, and all would exceed it."""
     bench = Bench(tenants=(Tenant(quota_per_s=9.0),), instances=100)
     bench.arrive("a")
-    assert not bench.c.requests["a"].over_quota
+    assert not bench.controller.requests["a"].over_quota
     for n in range(20):
         bench.arrive(f"r{n}")
-    assert bench.c.requests["r19"].over_quota
+    assert bench.controller.requests["r19"].over_quota
 
 
 def test_unsafe_requests_avoid_a_server_that_failed():
@@ -509,15 +522,15 @@
     bench = Bench()
     bench.do(ServersListed(ListKind.CHANGES, (server(13, 1, state=ServerState.GONE),)))
     bench.tick(bench.now + 29.0)
-    assert 13 in bench.c.workers
+    assert 13 in bench.controller.workers
     bench.tick(bench.now + 2.0)
-    assert 13 not in bench.c.workers
+    assert 13 not in bench.controller.workers
 
 
 def test_a_resumed_stream_is_not_refused_for_being_late():
     # A refusal would lose all that was streamed before.
     bench = Bench()
-    for worker in bench.c.workers.values():
+    for worker in bench.controller.workers.values():
         worker.limit = 0.0
     bench.arrive("busy")
     bench.arrive("new")
@@ -538,4 +551,4 @@
             bench.do(ClientGone(f"r{n}"))
             bench.end(f"r{n}", Outcome.CANCELED, after=0.0)
     bench.arrive("x")
-    assert bench.c.requests["x"].first_token_due - bench.now == pytest.approx(1.04)
+    assert bench.controller.requests["x"].first_token_due - bench.now == pytest.approx(1.04)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -105,14 +105,20 @@
     b.arrive("r1", session="s", prefix="p", prefix_tokens=500.0)
     b.read("r1")
     b.end("r1", Outcome.OK)
-    b.c.workers[1].errors, b.c.workers[1].ejected, b.c.workers[1].cold_level = 0.7, 105.0, 3.0
-    b.c.sessions["s"].cst = 1.5
+    b.controller.workers[1].errors, b.controller.workers[1].ejected, b.controller.workers[1].cold_level = (
+        0.7,
+        105.0,
+        3.0,
+    )
+    b.controller.sessions["s"].cst = 1.5
     return b
 
 
 def handed(b: Bench) -> HandOver:
-    listed = handover_encoding.to_listed((w.info, ("127.0.0.1", 1000 + n)) for n, w in b.c.workers.items())
-    return HandOver(b.now, True, 7, listed, {2: 99.0}, split_state(b.c))
+    listed = handover_encoding.to_listed(
+        (w.info, ("127.0.0.1", 1000 + n)) for n, w in b.controller.workers.items()
+    )
+    return HandOver(b.now, True, 7, listed, {2: 99.0}, split_state(b.controller))
 
 
 def test_a_successor_goes_on_from_what_was_learnt() -> None:
@@ -120,32 +126,34 @@
     got = unpack(pack(handed(old)), old.now)
     assert (got.drained, got.generation, got.told_off) == (True, 7, {2: 99.0})
     new = Bench(fleet=[info for info, _ in handover_encoding.from_listed(got.servers)], tenants=())
-    import_state(new.c, got.module, old.now)
-    assert new.c.sessions == {"s": Session(1.5, old.c.sessions["s"].reader, 1000.0, old.c.sessions["s"].at)}
-    assert new.c.prefix_cache.uses.keys() == old.c.prefix_cache.uses.keys()
-    assert new.c.paces.by_role[Role.READER] == old.c.paces.by_role[Role.READER] > 0
-    assert (new.c.workers[1].errors, new.c.workers[1].ejected) == (0.7, 105.0)
+    import_state(new.controller, got.module, old.now)
+    assert new.controller.sessions == {
+        "s": Session(1.5, old.controller.sessions["s"].reader, 1000.0, old.controller.sessions["s"].at)
+    }
+    assert new.controller.prefix_cache.uses.keys() == old.controller.prefix_cache.uses.keys()
+    assert new.controller.paces.by_role[Role.READER] == old.controller.paces.by_role[Role.READER] > 0
+    assert (new.controller.workers[1].errors, new.controller.workers[1].ejected) == (0.7, 105.0)
     # Both may send to a cold server for a moment: they have the budget of one.
-    assert old.c.workers[1].cold_level == new.c.workers[1].cold_level == 1.5
+    assert old.controller.workers[1].cold_level == new.controller.workers[1].cold_level == 1.5
     new.now = old.now
     new.arrive("r2", session="s")
-    assert new.attempts["r2"] == [old.c.sessions["s"].reader]
+    assert new.attempts["r2"] == [old.controller.sessions["s"].reader]
 
 
 def test_servers_that_the_new_list_does_not_name_are_passed_over() -> None:
     old = worked()
     new = Bench(fleet=[server(1, 0), server(12, 1)], tenants=())
-    import_state(new.c, split_state(old.c), old.now)
+    import_state(new.controller, split_state(old.controller), old.now)
     new.do(ServersListed(ListKind.CHANGES, (server(2, 0),)))
-    assert set(new.c.workers) == {1, 2, 12} and new.c.workers[2].errors == 0.0
+    assert set(new.controller.workers) == {1, 2, 12} and new.controller.workers[2].errors == 0.0
 
 
 def test_knowledge_for_other_settings_is_passed_over_whole() -> None:
-    known = split_state(worked().c)
+    known = split_state(worked().controller)
     new = Bench(tenants=())
     with pytest.raises(ValueError, match="other classes"):
-        import_state(new.c, replace(known, by_class=[*known.by_class, (0.0, 0.0)]), 100.0)
-    assert not new.c.sessions
+        import_state(new.controller, replace(known, by_class=[*known.by_class, (0.0, 0.0)]), 100.0)
+    assert not new.controller.sessions
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -37,7 +37,7 @@
 def one_of_many(**changes: Any) -> Bench:
     """One of many routers, which knows its readers' pace: 10,000 tokens a second."""
     bench = Bench(FLEET, **(dict[str, Any](may_tell=True, instances=40) | changes))
-    bench.c.paces.restore(dict.fromkeys(Role, 1e-4), 50)
+    bench.controller.paces.restore(dict.fromkeys(Role, 1e-4), 50)
     return bench
 
 
@@ -115,9 +115,9 @@
     """Reporting all would double the cost; reporting none would make servers that read them look idle."""
     one, other, draw = gossip(7), gossip(7), Random(3)
     messages = [one.read_message(7, 0.2 * STEP, None, draw.random()) for _ in range(4000)]
-    heard = [other.receive(message, 1.0) for message in messages if message is not None]
-    assert len(heard) < 1200
-    assert sum(received.work for received in heard if isinstance(received, ReadSent)) == pytest.approx(
+    arrived = [other.receive(message, 1.0) for message in messages if message is not None]
+    assert len(arrived) < 1200
+    assert sum(received.work for received in arrived if isinstance(received, ReadSent)) == pytest.approx(
         800 * STEP, rel=0.1
     )
 
@@ -135,13 +135,13 @@
 @given(st.binary(min_size=5, max_size=5))
 def test_messages_about_unlisted_servers_change_nothing(data: bytes) -> None:
     bench = one_of_many()
-    before = [(worker.info.id, worker.backlog.total_sent) for worker in bench.c.workers.values()]
-    known = {short_tag(str(n)) for n in bench.c.workers}
+    before = [(worker.info.id, worker.backlog.total_sent) for worker in bench.controller.workers.values()]
+    known = {short_tag(str(n)) for n in bench.controller.workers}
     assert not only(bench.do(PeerSaid(3, READING + data)), Log)
     if data[1:3].hex() not in known:
         assert [
-            (worker.info.id, worker.backlog.total_sent) for worker in bench.c.workers.values()
-        ] == before and not bench.c.prefix_cache.uses
+            (worker.info.id, worker.backlog.total_sent) for worker in bench.controller.workers.values()
+        ] == before and not bench.controller.prefix_cache.uses
 
 
 # ---- where reads go ----
@@ -156,7 +156,7 @@
 
 def report_read(bench: Bench, number: int, work: float, prefix: str | None = None) -> None:
     """Another router reports a read of `work` seconds."""
-    message = gossip(*bench.c.workers).read_message(number, work, prefix, 0.0)
+    message = gossip(*bench.controller.workers).read_message(number, work, prefix, 0.0)
     assert message is not None
     bench.do(PeerSaid(9, message))
 
@@ -174,7 +174,7 @@
 def test_without_gossip_a_router_uses_the_home() -> None:
     home = home_of("manual")
     bench = one_of_many(may_tell=False)
-    bench.c.workers[home].backlog.add(0.6, bench.now)
+    bench.controller.workers[home].backlog.add(0.6, bench.now)
     bench.arrive("r", prefix="manual", prefix_tokens=900.0)
     assert bench.attempts["r"] == [home]
 
@@ -182,9 +182,9 @@
 def test_a_turn_waits_for_a_server_that_cached_its_prefix_for_another_router() -> None:
     """The wait is shorter than reading the prefix anew, which would also delay other requests."""
     home = home_of("manual")
-    for kept, where in ((True, True), (False, False)):
+    for cached, where in ((True, True), (False, False)):
         bench = one_of_many()
-        report_read(bench, home, 0.3, "manual" if kept else None)
+        report_read(bench, home, 0.3, "manual" if cached else None)
         bench.arrive("r", prefix="manual", prefix_tokens=2800.0, prompt_tokens=3000.0)
         assert (bench.attempts["r"][0] == home) is where
 
@@ -199,14 +199,14 @@
     bench = one_of_many()
     for number in (one.id for one in READERS):
         report_read(bench, number, 0.6, "manual")
-    assert only(bench.arrive("kept", prefix="manual", prefix_tokens=8600.0, prompt_tokens=9000.0), Send)
+    assert only(bench.arrive("cached", prefix="manual", prefix_tokens=8600.0, prompt_tokens=9000.0), Send)
 
 
 def test_a_read_is_reported_when_it_is_sent_and_a_fetch_is_not() -> None:
     bench = one_of_many()
     actions = bench.arrive("r", prefix="manual", prefix_tokens=900.0, prompt_tokens=8000.0)
     (message,) = [a.data for a in only(actions, Tell)]
-    received = gossip(*bench.c.workers).receive(message, bench.now)
+    received = gossip(*bench.controller.workers).receive(message, bench.now)
     assert (
         isinstance(received, ReadSent)
         and received.servers == tuple(bench.attempts["r"])
@@ -219,9 +219,11 @@
 def test_a_new_process_has_no_backlog_and_an_empty_cache() -> None:
     bench = one_of_many()
     report_read(bench, 1, 3.0, "manual")
-    assert bench.c.workers[1].backlog.wait(bench.now) > 2 and bench.c.prefix_cache.uses
+    assert bench.controller.workers[1].backlog.wait(bench.now) > 2 and bench.controller.prefix_cache.uses
     bench.do(ServersListed(ListKind.CHANGES, (server(1, 0, started=bench.now),)))
-    assert bench.c.workers[1].backlog.wait(bench.now) == 0.0 and not bench.c.prefix_cache.uses
+    assert (
+        bench.controller.workers[1].backlog.wait(bench.now) == 0.0 and not bench.controller.prefix_cache.uses
+    )
 
 
 def test_a_server_slower_than_its_backlog_is_reported_to_the_others() -> None:
@@ -231,7 +233,7 @@
     (message,) = [a.data for a in only(bench.end("r", Outcome.READ, after=1.5), Tell) if a.data[:1] == b"S"]
     other = one_of_many()
     other.do(PeerSaid(2, message))
-    assert other.c.workers[number].backlog.wait(other.now) > 1.0
+    assert other.controller.workers[number].backlog.wait(other.now) > 1.0
 
 
 @given(st.integers(1, 40), st.integers(2, 12))
@@ -296,7 +298,7 @@
     home = home_of("manual")
     for gap, keeps in ((0.1, True), (1.0, False)):  # s between its arrivals, with eight readers
         bench = one_of_many()
-        bench.c.waits.mean_arrival_gap, bench.c.waits.last_arrival = gap, bench.now - gap
+        bench.controller.waits.mean_arrival_gap, bench.controller.waits.last_arrival = gap, bench.now - gap
         report_read(bench, home, 0.2)
         bench.arrive("r", prefix="manual", prefix_tokens=900.0, prompt_tokens=1000.0)
         assert (bench.attempts["r"][0] == home) is keeps
@@ -322,7 +324,7 @@
 def test_long_prompts_are_not_refused_for_the_length_of_their_read(with_gossip: bool) -> None:
     """The read's time is known and may take most of the aim; with a margin, half of them were refused."""
     bench = one_of_many(may_tell=with_gossip)
-    bench.c.waits.mean_arrival_gap = 1.0
+    bench.controller.waits.mean_arrival_gap = 1.0
     assert only(bench.arrive("long", prompt_tokens=15000.0), Send)  # 1.5 s of 1.6
 
 
@@ -330,7 +332,7 @@
     """The server was slower than expected; the time since sending alone would leave no backlog."""
     bench = one_of_many()
     bench.arrive("r")
-    worker = bench.c.workers[bench.attempts["r"][0]]
+    worker = bench.controller.workers[bench.attempts["r"][0]]
     report_read(bench, worker.info.id, 0.7)  # s, which is reported as three steps
     bench.read("r", after=3.0)
     assert (worker.backlog.queue, worker.backlog.at) == pytest.approx((0.6, bench.now))
@@ -338,9 +340,9 @@
 
 def test_the_first_token_from_a_mixed_server_ends_the_read() -> None:
     bench = Bench((server(21, 2), server(22, 2)), may_tell=True, instances=40)
-    bench.c.paces.restore(dict.fromkeys(Role, 1e-4), 50)
+    bench.controller.paces.restore(dict.fromkeys(Role, 1e-4), 50)
     bench.arrive("r")
-    worker = bench.c.workers[bench.attempts["r"][0]]
+    worker = bench.controller.workers[bench.attempts["r"][0]]
     assert worker.role is Role.MIXED
     report_read(bench, worker.info.id, 0.7)  # s, which is reported as three steps
     bench.do(StreamStarted("r", 0, worker.info.id, 3.0), at=bench.now + 3.0)
@@ -351,8 +353,8 @@
     home = home_of("manual")
     for slow in (False, True):
         bench = one_of_many()
-        bench.c.waits.mean_arrival_gap, bench.c.waits.last_arrival = 0.1, bench.now - 0.1
-        queue = bench.c.workers[home].backlog
+        bench.controller.waits.mean_arrival_gap, bench.controller.waits.last_arrival = 0.1, bench.now - 0.1
+        queue = bench.controller.workers[home].backlog
         queue.read_ended(queue.add(0.1, bench.now), 2.0 if slow else 0.1, 0.1, bench.now)
         assert queue.wait(bench.now) == 0.0
         bench.arrive("r", prefix="manual", prefix_tokens=900.0, prompt_tokens=3000.0)
@@ -363,7 +365,7 @@
     """0.4 s of waiting against 0.28 s of reading on an idle server, which would delay its other turns."""
     home = home_of("manual")
     bench = one_of_many()
-    bench.c.waits.mean_arrival_gap, bench.c.waits.last_arrival = 1.0, bench.now - 1.0
+    bench.controller.waits.mean_arrival_gap, bench.controller.waits.last_arrival = 1.0, bench.now - 1.0
     report_read(bench, home, 0.4, "manual")
     bench.arrive("r", prefix="manual", prefix_tokens=2800.0, prompt_tokens=3000.0)
     assert bench.attempts["r"] == [home]
@@ -420,15 +422,15 @@
 
 
 def test_the_prefix_cache_index_is_bounded_and_keeps_the_latest_entries() -> None:
-    kept = PrefixCacheIndex()
+    index = PrefixCacheIndex()
     for n in range(MAX_ENTRIES + 10):
-        kept.record_use(n, short_tag("manual"), float(n))
+        index.record_use(n, short_tag("manual"), float(n))
     assert (
-        len(kept.uses) == MAX_ENTRIES
-        and kept.holds(MAX_ENTRIES + 9, "manual")
-        and not kept.holds(9, "manual")
+        len(index.uses) == MAX_ENTRIES
+        and index.holds(MAX_ENTRIES + 9, "manual")
+        and not index.holds(9, "manual")
     )
-    assert not kept.holds(MAX_ENTRIES + 9, None) and not kept.holds(MAX_ENTRIES + 9, "other")
+    assert not index.holds(MAX_ENTRIES + 9, None) and not index.holds(MAX_ENTRIES + 9, "other")
 
 
 ZONES = (*(server(n, 0, zone=n % 2) for n in range(1, 9)), server(11, 1, zone=0), server(12, 1, zone=1))
@@ -438,7 +440,7 @@
     """Send turns until the first attempt of one goes to the zone; it is not answered."""
     for n in range(60):
         bench.arrive(f"{name}{n}")
-        worker = bench.c.workers[bench.attempts[f"{name}{n}"][0]]
+        worker = bench.controller.workers[bench.attempts[f"{name}{n}"][0]]
         if worker.info.zone == zone and worker.role is Role.READER:
             bench.end(f"{name}{n}", Outcome.UNREACHABLE, after=0.25)
             return
@@ -451,7 +453,7 @@
     zones = set()
     for n in range(turns):
         bench.arrive(f"{name}{n}")
-        zones.add(bench.c.workers[bench.attempts[f"{name}{n}"][0]].info.zone)
+        zones.add(bench.controller.workers[bench.attempts[f"{name}{n}"][0]].info.zone)
     return zones
 
 
@@ -459,7 +461,7 @@
     for silent, later, zones in (((1,), 0, {0, 1}), ((1, 3), 0, {0}), ((1, 3), AVOIDED_FOR + 0.1, {0, 1})):
         bench = Bench(ZONES)  # one silent server does not make a zone unreachable
         for number in silent:
-            bench.c.zones.attempt_unanswered(1, number, 0.25, bench.now)
+            bench.controller.zones.attempt_unanswered(1, number, 0.25, bench.now)
         bench.now += later
         assert zones_of(bench, "r") == zones
 
@@ -468,12 +470,12 @@
     bench = Bench(ZONES)
     lose_attempt(bench, "a", 1)
     lose_attempt(bench, "b", 1)
-    silent = bench.c.zones.unreachable(bench.now)
+    silent = bench.controller.zones.unreachable(bench.now)
     assert silent <= {1}
-    bench.c.zones.attempt_unanswered(1, 99, 0.25, bench.now)
-    assert bench.c.zones.unreachable(bench.now) == {1}
-    bench.c.zones.server_answered(1)
-    assert not bench.c.zones.unreachable(bench.now)
+    bench.controller.zones.attempt_unanswered(1, 99, 0.25, bench.now)
+    assert bench.controller.zones.unreachable(bench.now) == {1}
+    bench.controller.zones.server_answered(1)
+    assert not bench.controller.zones.unreachable(bench.now)
 
 
 def test_the_end_of_a_read_makes_its_zone_reachable() -> None:
@@ -481,12 +483,14 @@
     turns = [f"r{n}" for n in range(12)]
     for request in turns:
         bench.arrive(request)
-    there = next(request for request in turns if bench.c.workers[bench.attempts[request][0]].info.zone == 1)
-    bench.c.zones.attempt_unanswered(1, 1, 0.25, bench.now)
-    bench.c.zones.attempt_unanswered(1, 3, 0.25, bench.now)
-    assert bench.c.zones.unreachable(bench.now) == {1}
+    there = next(
+        request for request in turns if bench.controller.workers[bench.attempts[request][0]].info.zone == 1
+    )
+    bench.controller.zones.attempt_unanswered(1, 1, 0.25, bench.now)
+    bench.controller.zones.attempt_unanswered(1, 3, 0.25, bench.now)
+    assert bench.controller.zones.unreachable(bench.now) == {1}
     bench.read(there)
-    assert not bench.c.zones.unreachable(bench.now)
+    assert not bench.controller.zones.unreachable(bench.now)
 
 
 def test_refused_connections_do_not_make_a_zone_unreachable() -> None:
@@ -499,8 +503,8 @@
 def test_if_every_zone_is_unreachable_none_is_avoided() -> None:
     bench = Bench(ZONES)
     for zone, number in ((0, 2), (0, 4), (1, 1), (1, 3)):
-        bench.c.zones.attempt_unanswered(zone, number, 0.25, bench.now)
-    assert bench.c.zones.unreachable(bench.now) == {0, 1} and zones_of(bench, "r", 6)
+        bench.controller.zones.attempt_unanswered(zone, number, 0.25, bench.now)
+    assert bench.controller.zones.unreachable(bench.now) == {0, 1} and zones_of(bench, "r", 6)
 
 
 # ---- invalid values ----
@@ -508,11 +512,11 @@
 
 def test_a_server_that_reports_too_many_cached_tokens_teaches_no_pace() -> None:
     bench = one_of_many()
-    paces = dict(bench.c.paces.by_role)
+    paces = dict(bench.controller.paces.by_role)
     bench.arrive("r", prefix="manual", prefix_tokens=900.0)
     bench.end("r", Outcome.READ, after=0.001, note=10**9)
-    assert bench.c.paces.by_role == paces
-    worker = bench.c.workers[bench.attempts["r"][0]]
+    assert bench.controller.paces.by_role == paces
+    worker = bench.controller.workers[bench.attempts["r"][0]]
     assert worker.hit <= 1.0 and worker.backlog.wait(bench.now) >= 0.0
 
 
@@ -520,6 +524,6 @@
     bench = one_of_many()
     for request in ("first", "again"):  # the second finds the prefix cached
         assert only(bench.arrive(request, prefix="manual", prefix_tokens=1e8, prompt_tokens=50.0), Send)
-        attempt = bench.c.requests[request].attempts[0]
+        attempt = bench.controller.requests[request].attempts[0]
         assert attempt.fresh_tokens >= 0.0 and attempt.expected_read_time >= 0.0
         bench.end(request, Outcome.READ, after=0.01)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -94,7 +94,7 @@
             if outcome is Outcome.READ:
                 self.held[request] = self.bench.now
         elif not outcome.never_ran:
-            self.may_run[request] = self.bench.c.settings.classes[0].effect is Effect.UNSAFE
+            self.may_run[request] = self.bench.controller.settings.classes[0].effect is Effect.UNSAFE
         closed = outcome is Outcome.OK or request not in self.open
         if outcome is Outcome.OK:
             self.open.discard(request)
--- a/tests/test_unreachable.py
+++ b/tests/test_unreachable.py
@@ -12,7 +12,7 @@
     """End attempts at a server in this way until it is left out; what the module did meanwhile."""
     acts: list[Action] = []
     for n in range(40):
-        if bench.c.workers[target].trial:
+        if bench.controller.workers[target].trial:
             return acts
         rid = f"r{n}"
         bench.arrive(rid)
