--- a/hopshed/__init__.py
+++ b/hopshed/__init__.py
@@ -1,6 +1,7 @@
 """hopshed: placement, admission and failure decisions of a router for split language-model servers.
 
-The decisions are pure functions of events and time: `Controller.handle` takes events and returns actions.
+`Controller.handle` takes events and the time, and returns actions. The package keeps no clock; only `simhost`
+does I/O.
 """
 
 from .control import Controller
