--- a/tests/test_unreachable.py
+++ b/tests/test_unreachable.py
@@ -12,7 +12,7 @@
     """End attempts at a server with this outcome until it is ejected; the actions taken meanwhile."""
     actions: list[Action] = []
     for n in range(40):
-        if bench.c.workers[target].trial:
+        if bench.controller.workers[target].trial:
             return actions
         request = f"r{n}"
         bench.arrive(request)
