--- a/tests/recovery/test_snapshot_store.py
+++ b/tests/recovery/test_snapshot_store.py
@@ -150,7 +150,7 @@
 def test_another_fleets_and_another_versions_are_named_plainly() -> None:
     with pytest.raises(DecodeError, match="other settings"):
         unpack(pack(snapshot()), "another")
-    with pytest.raises(DecodeError, match="of form 9"):
+    with pytest.raises(DecodeError, match="format version 9"):
         unpack(pack(snapshot()).replace(b"yewhook-snapshot 1 ", b"yewhook-snapshot 9 "), "fleet")
     with pytest.raises(DecodeError, match="not a snapshot"):
         unpack(b"yewhook-handover 1 0 00000000\n", "fleet")
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Replacing a process: its place in the line, what is handed over, and what is made of the neighbours."""
+"""Replacing a process: the process files, the hand-over, and the events from neighbouring processes."""
 
 from __future__ import annotations
 
@@ -19,57 +19,61 @@
 from yewhook.operations.handover_encoding import DecodeError, HandOver, pack, unpack
 from yewhook.operations.instance import Event
 from yewhook.operations.process_files import ProcessFiles
-from yewhook.operations.process_neighbours import HUNG, Neighbours, NeighbourStatus
+from yewhook.operations.process_neighbours import READY_TIMEOUT_S, Neighbours, NeighbourStatus
 
 
-def after(line: ProcessFiles) -> None:
-    """As a process's end lets its lock go."""
-    os.close(line._lock)
+def release_lock(files: ProcessFiles) -> None:
+    """Release the lock as the end of the process would."""
+    os.close(files._lock)
 
 
 def test_each_process_sees_its_living_neighbours(tmp_path: Path) -> None:
-    one, two = ProcessFiles(tmp_path / "line"), ProcessFiles(tmp_path / "line")
-    assert (one.predecessor(), one.successors()) == (None, [two.number])
-    assert (two.predecessor(), two.successors()) == (one.number, [])
-    three = ProcessFiles(tmp_path / "line")
-    assert three.predecessor() == two.number and one.successors() == [two.number, three.number]
-    after(two)
-    assert three.predecessor() == one.number and one.successors() == [three.number]
-    after(one)
-    assert three.predecessor() is None
-
-
-def test_what_dead_processes_left_is_cleared(tmp_path: Path) -> None:
-    one = ProcessFiles(tmp_path / "line")
-    one.mark_ready()
-    one.hand(one.number, b"x")
-    after(one)
-    (tmp_path / "line" / "17.process").write_bytes(b"")  # nobody's lock is on it
-    two = ProcessFiles(tmp_path / "line")
-    assert two.number == 18 and {p.name for p in (tmp_path / "line").iterdir()} == {"18.process"}
-
-
-def test_a_mark_is_as_old_as_its_renewal(tmp_path: Path) -> None:
-    line = ProcessFiles(tmp_path / "line")
-    assert line.ready_age(line.number) is None
-    line.mark_ready()
-    age = line.ready_age(line.number)
+    first, second = ProcessFiles(tmp_path / "processes"), ProcessFiles(tmp_path / "processes")
+    assert (first.predecessor(), first.successors()) == (None, [second.number])
+    assert (second.predecessor(), second.successors()) == (first.number, [])
+    third = ProcessFiles(tmp_path / "processes")
+    assert third.predecessor() == second.number and first.successors() == [second.number, third.number]
+    release_lock(second)
+    assert third.predecessor() == first.number and first.successors() == [third.number]
+    release_lock(first)
+    assert third.predecessor() is None
+
+
+def test_files_of_dead_processes_are_removed(tmp_path: Path) -> None:
+    first = ProcessFiles(tmp_path / "processes")
+    first.mark_ready()
+    first.write_handover(first.number, b"x")
+    release_lock(first)
+    (tmp_path / "processes" / "17.process").write_bytes(b"")  # not locked by anyone
+    second = ProcessFiles(tmp_path / "processes")
+    assert second.number == 18 and {path.name for path in (tmp_path / "processes").iterdir()} == {
+        "18.process"
+    }
+
+
+def test_the_age_of_a_ready_mark_counts_from_its_renewal(tmp_path: Path) -> None:
+    files = ProcessFiles(tmp_path / "processes")
+    assert files.ready_age(files.number) is None
+    files.mark_ready()
+    age = files.ready_age(files.number)
     assert age is not None and age < 5.0
-    os.utime(tmp_path / "line" / f"{line.number}.ready", (time.time() - 9, time.time() - 9))
-    age = line.ready_age(line.number)
+    os.utime(tmp_path / "processes" / f"{files.number}.ready", (time.time() - 9, time.time() - 9))
+    age = files.ready_age(files.number)
     assert age is not None and age > 8.0
 
 
-def test_a_hand_over_is_taken_once_and_its_room_given_back(tmp_path: Path) -> None:
-    one, two = ProcessFiles(tmp_path / "line"), ProcessFiles(tmp_path / "line")
-    assert two.handed() is None
-    one.hand(two.number, b"all")
-    assert two.handed() == b"all" and two.handed() is None
-    assert {p.name for p in (tmp_path / "line").iterdir()} == {"1.process", "2.process"}
+def test_a_hand_over_is_read_once_and_its_file_deleted(tmp_path: Path) -> None:
+    first, second = ProcessFiles(tmp_path / "processes"), ProcessFiles(tmp_path / "processes")
+    assert second.take_handover() is None
+    first.write_handover(second.number, b"all")
+    assert second.take_handover() == b"all" and second.take_handover() is None
+    assert {path.name for path in (tmp_path / "processes").iterdir()} == {"1.process", "2.process"}
 
 
-def test_a_hand_over_without_room_leaves_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    one, two = ProcessFiles(tmp_path / "line"), ProcessFiles(tmp_path / "line")
+def test_a_hand_over_that_does_not_fit_on_the_disk_leaves_no_file(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    first, second = ProcessFiles(tmp_path / "processes"), ProcessFiles(tmp_path / "processes")
 
     def full(path: Path, data: bytes) -> int:
         path.touch()
@@ -77,71 +81,76 @@
 
     monkeypatch.setattr(Path, "write_bytes", full)
     with pytest.raises(OSError, match="No space"):
-        one.hand(two.number, b"all")
-    assert two.handed() is None and len(list((tmp_path / "line").iterdir())) == 2
+        first.write_handover(second.number, b"all")
+    assert second.take_handover() is None and len(list((tmp_path / "processes").iterdir())) == 2
 
 
-def test_neighbours_are_heard_of_once_at_each_change() -> None:
-    one = Neighbours(had_predecessor=True)
-    for sight, heard in (
+def test_each_change_of_the_neighbours_is_reported_once() -> None:
+    neighbours = Neighbours(had_predecessor=True)
+    for status, events in (
         (NeighbourStatus(1, None, None), []),
         (NeighbourStatus(1, 3, None), []),
         (NeighbourStatus(None, 3, 0.1), [Event.PREDECESSOR_LOST, Event.SUCCESSOR_READY]),
         (NeighbourStatus(None, 3, 0.3), []),
-        (
-            NeighbourStatus(None, 3, HUNG),
-            [Event.SUCCESSOR_LOST],
-        ),  # it hangs: its lock is there, its mark stands still
+        # It hangs: it holds its lock but does not renew its mark.
+        (NeighbourStatus(None, 3, READY_TIMEOUT_S), [Event.SUCCESSOR_LOST]),
         (NeighbourStatus(None, 3, 0.0), [Event.SUCCESSOR_READY]),
         (NeighbourStatus(None, None, None), [Event.SUCCESSOR_LOST]),
     ):
-        assert one.see(sight) == heard
-    assert [one.to_hand(NeighbourStatus(None, n, None)) for n in (None, 3, 3, 4)] == [None, 3, None, 4]
-
-
-def worked() -> Bench:
-    """A module that has served a turn and met a failing server."""
-    b = Bench(tenants=())
-    b.arrive("r1", session="s", prefix="p", prefix_tokens=500.0)
-    b.read("r1")
-    b.end("r1", Outcome.OK)
-    b.c.workers[1].errors, b.c.workers[1].ejected, b.c.workers[1].cold_level = 0.7, 105.0, 3.0
-    b.c.sessions["s"].cst = 1.5
-    return b
-
-
-def handed(b: Bench) -> HandOver:
-    listed = handover_encoding.to_listed((w.info, ("127.0.0.1", 1000 + n)) for n, w in b.c.workers.items())
-    return HandOver(b.now, True, 7, listed, {2: 99.0}, split_state(b.c))
-
-
-def test_a_successor_goes_on_from_what_was_learnt() -> None:
-    old = worked()
-    got = unpack(pack(handed(old)), old.now)
-    assert (got.drained, got.generation, got.told_off) == (True, 7, {2: 99.0})
-    new = Bench(fleet=[info for info, _ in handover_encoding.from_listed(got.servers)], tenants=())
-    import_state(new.c, got.module, old.now)
+        assert neighbours.update(status) == events
+    assert [neighbours.next_handover_target(NeighbourStatus(None, n, None)) for n in (None, 3, 3, 4)] == [
+        None,
+        3,
+        None,
+        4,
+    ]
+
+
+def bench_with_learned_state() -> Bench:
+    """A module that has served a turn and ejected a failing server."""
+    bench = Bench(tenants=())
+    bench.arrive("r1", session="s", prefix="p", prefix_tokens=500.0)
+    bench.read("r1")
+    bench.end("r1", Outcome.OK)
+    bench.c.workers[1].errors, bench.c.workers[1].ejected, bench.c.workers[1].cold_level = 0.7, 105.0, 3.0
+    bench.c.sessions["s"].cst = 1.5
+    return bench
+
+
+def hand_over_of(bench: Bench) -> HandOver:
+    listed = handover_encoding.to_listed(
+        (worker.info, ("127.0.0.1", 1000 + number)) for number, worker in bench.c.workers.items()
+    )
+    return HandOver(bench.now, True, 7, listed, {2: 99.0}, split_state(bench.c))
+
+
+def test_a_successor_continues_with_the_learned_state() -> None:
+    old = bench_with_learned_state()
+    handover = unpack(pack(hand_over_of(old)), old.now)
+    assert (handover.drained, handover.generation, handover.told_off) == (True, 7, {2: 99.0})
+    new = Bench(fleet=[info for info, _ in handover_encoding.from_listed(handover.servers)], tenants=())
+    import_state(new.c, handover.module, old.now)
     assert new.c.sessions == {"s": Session(1.5, old.c.sessions["s"].reader, 1000.0, old.c.sessions["s"].at)}
     assert new.c.prefix_cache.uses.keys() == old.c.prefix_cache.uses.keys()
     assert new.c.paces.of[Role.READER] == old.c.paces.of[Role.READER] > 0
     assert (new.c.workers[1].errors, new.c.workers[1].ejected) == (0.7, 105.0)
-    # Both may send to a cold server for a moment: they have the budget of one.
+    # Both processes may briefly send to a cold server, so they split its budget.
     assert old.c.workers[1].cold_level == new.c.workers[1].cold_level == 1.5
     new.now = old.now
     new.arrive("r2", session="s")
     assert new.attempts["r2"] == [old.c.sessions["s"].reader]
 
 
-def test_servers_that_the_new_list_does_not_name_are_passed_over() -> None:
-    old = worked()
+def test_learned_state_of_unlisted_servers_is_ignored() -> None:
+    old = bench_with_learned_state()
     new = Bench(fleet=[server(1, 0), server(12, 1)], tenants=())
     import_state(new.c, split_state(old.c), old.now)
     new.do(ServersListed(ListKind.CHANGES, (server(2, 0),)))
     assert set(new.c.workers) == {1, 2, 12} and new.c.workers[2].errors == 0.0
 
 
-def test_knowledge_for_other_settings_is_passed_over_whole() -> None:
-    known = split_state(worked().c)
+def test_learned_state_of_other_settings_is_rejected_whole() -> None:
+    known = split_state(bench_with_learned_state().c)
     new = Bench(tenants=())
     with pytest.raises(ValueError, match="other classes"):
         import_state(new.c, replace(known, by_class=[*known.by_class, (0.0, 0.0)]), 100.0)
@@ -150,8 +159,8 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.data())
-def test_a_damaged_hand_over_is_never_taken(data: st.DataObject) -> None:
-    whole = pack(handed(worked()))
+def test_a_damaged_hand_over_is_rejected(data: st.DataObject) -> None:
+    whole = pack(hand_over_of(bench_with_learned_state()))
     at = data.draw(st.integers(0, len(whole) - 1))
     cut, flip = data.draw(st.booleans()), data.draw(st.integers(1, 255))
     damaged = whole[:at] if cut else whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :]
@@ -160,18 +169,23 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "reason"),
     [
         (b"", "not a hand-over"),
         (b"PK\x03\x04 1 2 3\n", "not a hand-over"),
-        (pack(handed(worked())).replace(b"handover 1 ", b"handover 9 ", 1), "of form 9"),
+        (
+            pack(hand_over_of(bench_with_learned_state())).replace(b"handover 1 ", b"handover 9 ", 1),
+            "format version 9",
+        ),
     ],
 )
-def test_a_foreign_or_other_form_is_named(data: bytes, why: str) -> None:
-    with pytest.raises(DecodeError, match=why):
+def test_foreign_data_and_other_format_versions_are_rejected_with_the_reason(
+    data: bytes, reason: str
+) -> None:
+    with pytest.raises(DecodeError, match=reason):
         unpack(data, 1e9)
 
 
-def test_a_hand_over_from_another_clock_is_passed_over() -> None:
+def test_a_hand_over_written_on_another_clock_is_rejected() -> None:
     with pytest.raises(DecodeError, match="another clock"):
-        unpack(pack(handed(worked())), 1.0)
+        unpack(pack(hand_over_of(bench_with_learned_state())), 1.0)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Daily operation: the state of an instance, the management endpoint, drains that hold."""
+"""The state machine of an instance, the management endpoint, and drains."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from scenario import FakePeer
 from test_platform import FLEET, SAYINGS, Platform, begin
 
-from yewhook.operations.instance import FRONT_MODES, TABLE, Event, Instance, State, step
+from yewhook.operations.instance import FRONT_MODES, TRANSITIONS, Event, Instance, State, step
 from yewhook.operations.management_endpoint import MAX_CONNECTIONS, ManagementEndpoint
 
 
-class Door_(Platform):
-    """A platform's front with a door beside it."""
+class PlatformWithManagement(Platform):
+    """The platform front with a management endpoint."""
 
     def __init__(self) -> None:
         super().__init__(FLEET)
-        self.door = ManagementEndpoint(self.service, ("127.0.0.1", 0))
+        self.endpoint = ManagementEndpoint(self.service, ("127.0.0.1", 0))
         self.sayings = self.sayings | {
             "call": lambda path, method="GET": f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(),
             "half": lambda: b"POST /-/drain HTTP/1.1\r\nHo",
@@ -32,23 +32,25 @@
 
     def call(self, path: str, method: str = "GET", status: str = "200 OK") -> None:
         name = f"operator{len(self.parties)}"
-        self.parties[name] = FakePeer(("127.0.0.1", self.door.port))
+        self.parties[name] = FakePeer(("127.0.0.1", self.endpoint.port))
         self.play(f"{name} send call path={path} method={method}\n{name} expect HTTP/1.1 {status}")
         self.play(f"{name} expect closed")
 
 
 @pytest.fixture
-def d() -> Iterator[Door_]:
-    played = Door_()
-    yield played
-    played.end()
-
-
-def test_a_drain_says_no_at_once_and_serves_what_still_comes(d: Door_) -> None:
-    d.play(begin() + "kept send get path=/healthz\nkept expect 200 OK")
-    d.call("/-/ready")
-    d.call("/-/drain", "POST")
-    d.play("""
+def platform() -> Iterator[PlatformWithManagement]:
+    platform = PlatformWithManagement()
+    yield platform
+    platform.end()
+
+
+def test_a_drain_fails_health_checks_at_once_and_still_serves_requests(
+    platform: PlatformWithManagement,
+) -> None:
+    platform.play(begin() + "kept send get path=/healthz\nkept expect 200 OK")
+    platform.call("/-/ready")
+    platform.call("/-/drain", "POST")
+    platform.play("""
         kept send get path=/healthz
         kept expect HTTP/1.1 503
         kept expect closed
@@ -57,10 +59,10 @@
         late expect closed
         idle send raw text=
     """)
-    # The writer has not answered for 0.8 s, so the state is let go. The reader confirms it before the writer
-    # is asked, too: a stand-in forgets its connection over another.
-    d.until(lambda: "DELETE" in d.parties["reader"].heard, "a release")
-    d.play("""
+    # The writer has not answered for 0.8 s, so the held state is released. The reader confirms that before
+    # the writer is asked again, because the fake peer keeps only its latest connection.
+    platform.until(lambda: "DELETE" in platform.parties["reader"].heard, "a release")
+    platform.play("""
         reader send status status=204
         wait 1
         idle expect closed
@@ -73,30 +75,31 @@
         client expect 0\r\n\r\n
         client expect closed
     """)
-    d.call("/-/drain", "POST")  # the same order again changes nothing
-    d.call("/-/resume", "POST")
-    d.play("kept2 send get path=/healthz\nkept2 expect 200 OK\nwait 1")
-    assert not d.parties["kept2"].ended and d.service.instance.state is State.READY
+    platform.call("/-/drain", "POST")  # repeating the order changes nothing
+    platform.call("/-/resume", "POST")
+    platform.play("kept2 send get path=/healthz\nkept2 expect 200 OK\nwait 1")
+    assert not platform.parties["kept2"].ended and platform.service.instance.state is State.READY
 
 
-def test_what_is_half_written_late_in_a_drain_is_refused(d: Door_) -> None:
-    # At 4 s no client may be held with a request of the last 2 s, and one may be written over 2 s.
-    d.play("client send half_ask")
-    d.call("/-/drain", "POST")
-    d.play("wait 1.7\nclient send end_ask\nreader expect POST\nreader send read\nwriter expect POST")
-    d.play("slow send half_ask\nwait 0.4\nslow expect HTTP/1.1 503\nslow expect closed")
-    assert not d.parties["client"].ended
+def test_a_request_still_incomplete_late_in_a_drain_is_refused(platform: PlatformWithManagement) -> None:
+    # A request may take 2 s to arrive. 4 s into a drain no request that came in the last 2 s may be held, so
+    # one that is incomplete after 2 s of the drain is refused.
+    platform.play("client send half_ask")
+    platform.call("/-/drain", "POST")
+    platform.play("wait 1.7\nclient send end_ask\nreader expect POST\nreader send read\nwriter expect POST")
+    platform.play("slow send half_ask\nwait 0.4\nslow expect HTTP/1.1 503\nslow expect closed")
+    assert not platform.parties["client"].ended
 
 
-def test_orders_in_quick_succession_end_in_the_last_one(d: Door_) -> None:
+def test_the_last_of_several_quick_orders_is_in_force(platform: PlatformWithManagement) -> None:
     for path in ("/-/drain", "/-/resume", "/-/drain", "/-/resume", "/-/resume"):
-        d.call(path, "POST")
-    d.play("client send get path=/healthz\nclient expect 200 OK\nwait 1")
-    assert not d.parties["client"].ended and d.service.instance == Instance(State.READY)
+        platform.call(path, "POST")
+    platform.play("client send get path=/healthz\nclient expect 200 OK\nwait 1")
+    assert not platform.parties["client"].ended and platform.service.instance == Instance(State.READY)
 
 
 @pytest.mark.parametrize(
-    ("saying", "status"),
+    ("request_text", "status"),
     [
         ("call path=/", "404"),
         ("call path=/-/ready method=POST", "405"),
@@ -106,64 +109,66 @@
         ("bulky", "413"),
     ],
 )
-def test_a_wrong_call_is_never_a_yes(d: Door_, saying: str, status: str) -> None:
-    d.parties["operator"] = FakePeer(("127.0.0.1", d.door.port))
-    d.play(f"operator send {saying}\noperator expect HTTP/1.1 {status}\noperator expect closed")
-    assert d.service.instance == Instance(State.READY)
+def test_an_invalid_management_request_is_an_error_and_changes_nothing(
+    platform: PlatformWithManagement, request_text: str, status: str
+) -> None:
+    platform.parties["operator"] = FakePeer(("127.0.0.1", platform.endpoint.port))
+    platform.play(f"operator send {request_text}\noperator expect HTTP/1.1 {status}\noperator expect closed")
+    assert platform.service.instance == Instance(State.READY)
 
 
-def test_callers_with_half_a_call_keep_nobody_out(d: Door_) -> None:
+def test_incomplete_management_requests_do_not_block_others(platform: PlatformWithManagement) -> None:
     for n in range(2 * MAX_CONNECTIONS + 5):
-        d.parties[f"half{n}"] = FakePeer(("127.0.0.1", d.door.port))
-        d.play(f"half{n} send half")
-    d.call("/-/ready")
-    open_now = sum(not d.parties[f"half{n}"].ended for n in range(2 * MAX_CONNECTIONS + 5))
+        platform.parties[f"half{n}"] = FakePeer(("127.0.0.1", platform.endpoint.port))
+        platform.play(f"half{n} send half")
+    platform.call("/-/ready")
+    open_now = sum(not platform.parties[f"half{n}"].ended for n in range(2 * MAX_CONNECTIONS + 5))
     assert 0 < open_now <= MAX_CONNECTIONS
     last = f"half{2 * MAX_CONNECTIONS + 4}"
-    d.play(f"wait 5.1\n{last} expect HTTP/1.1 408\n{last} expect closed")
+    platform.play(f"wait 5.1\n{last} expect HTTP/1.1 408\n{last} expect closed")
 
 
-def test_the_door_is_heard_before_the_clients(d: Door_) -> None:
+def test_management_requests_are_handled_before_those_of_clients(platform: PlatformWithManagement) -> None:
     order: list[str] = []
-    received = d.front.clients.accepted
-    d.front._acceptor._accepted = lambda sock: (order.append("client"), received(sock))  # type: ignore[func-returns-value,assignment]
-    accept = d.door._accept
+    accepted = platform.front.clients.accepted
+    platform.front._acceptor._accepted = lambda sock: (order.append("client"), accepted(sock))  # type: ignore[func-returns-value,assignment]
+    accept = platform.endpoint._accept
 
-    def heard(mask: int) -> None:
-        order.append("door")
+    def accept_first(mask: int) -> None:
+        order.append("management")
         accept(mask)
 
-    d.service.loop.watch(d.door._listener, 1, heard, first=True)
-    d.parties["operator"] = FakePeer(("127.0.0.1", d.door.port))
+    platform.service.loop.watch(platform.endpoint._listener, 1, accept_first, first=True)
+    platform.parties["operator"] = FakePeer(("127.0.0.1", platform.endpoint.port))
     for name in ("client", "operator"):
-        d.parties[name].send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-    d.until(lambda: len(order) == 2, "both are heard")
-    assert order == ["door", "client"]
+        platform.parties[name].send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+    platform.until(lambda: len(order) == 2, "both are accepted")
+    assert order == ["management", "client"]
 
 
-def test_the_table_names_every_state_and_event() -> None:
-    assert TABLE.keys() == {(state, event) for state in State for event in Event}
+def test_the_transitions_cover_every_state_and_event() -> None:
+    assert TRANSITIONS.keys() == {(state, event) for state in State for event in Event}
     assert FRONT_MODES.keys() == set(State)
 
 
-class Model(RuleBasedStateMachine):
-    """An instance beside its whole history, from which each question is answered anew."""
+class InstanceModel(RuleBasedStateMachine):
+    """Compares an instance with a model that derives each property from the whole history of events."""
 
     def __init__(self) -> None:
         super().__init__()
         self.start = State.STARTING
-        self.heard: list[Event] = []
+        self.history: list[Event] = []
         self.instance = Instance(self.start)
 
     @rule(event=st.sampled_from(Event))
-    def hear(self, event: Event) -> None:
-        self.heard.append(event)
+    def apply(self, event: Event) -> None:
+        self.history.append(event)
         self.instance = step(self.instance, event)
 
-    def told(self) -> tuple[bool, bool, bool, bool]:
-        """Whether it is able, drained, succeeded and ended, from all that it has heard."""
+    def expected(self) -> tuple[bool, bool, bool, bool]:
+        """Whether the instance is able to serve, drained, succeeded and told to end, by the history."""
         able = drained = succeeded = ended = False
-        for event in self.heard:
+        for event in self.history:
             if event is Event.TERM:
                 ended = True
             elif ended:
@@ -178,8 +183,8 @@
         return able, drained, succeeded, ended
 
     @invariant()
-    def it_is_as_told(self) -> None:
-        able, drained, succeeded, ended = self.told()
+    def agrees_with_history(self) -> None:
+        able, drained, succeeded, ended = self.expected()
         mode = self.instance.front_mode
         if ended:
             assert self.instance.state in (State.LASTING, State.ENDING, State.LEAVING)
@@ -194,11 +199,11 @@
         assert mode.close_idle <= (not mode.keep_alive)
 
 
-TestInstance = Model.TestCase
+TestInstance = InstanceModel.TestCase
 TestInstance.settings = settings(max_examples=60, stateful_step_count=25, derandomize=True, deadline=None)
 
 
-def test_a_successor_that_is_lost_gives_the_clients_back_and_keeps_the_order() -> None:
+def test_after_a_lost_successor_the_instance_serves_again_and_keeps_its_drain() -> None:
     instance = Instance(State.SUCCEEDING)
     for event, state in (
         (Event.DRAIN, State.SUCCEEDING), (Event.WORKERS_KNOWN, State.DRAINING),
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -154,7 +154,7 @@
     assert orders.with_order(Order.DRAIN, "b", 2.0) == orders and orders.drain is not None
     upgrading = orders.with_order(Order.UPGRADE, "c", 3.0)
     for order in Order:
-        with pytest.raises(OrderRefused, match="by c is under way, since 4 s"):
+        with pytest.raises(OrderRefused, match="by c is under way, started 4 s ago"):
             upgrading.with_order(order, "d", 7.0)
     assert upgrading.without_upgrade() == orders and orders.with_order(Order.RESUME, "e", 9.0) == Orders()
 
--- a/yewhook/operations/__init__.py
+++ b/yewhook/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Day-to-day operation: the state of an instance, the management endpoint, and the hot restart."""
+"""Operating one router: the instance's state, the management endpoint, and hot restarts."""
--- a/yewhook/operations/instance.py
+++ b/yewhook/operations/instance.py
@@ -1,8 +1,7 @@
-"""The state of one instance, as a pure machine: what it is told moves it, and each state is one mode of
-the fronts. No clock, no I/O.
+"""The state machine of one router process: events change the state, and each state sets a mode of the fronts.
 
-SIGHUP and a list of workers that goes away move nothing: the configuration is not the state, and an instance
-whose register is silent serves by the last list that it heard.
+It has no clock and does no I/O. SIGHUP and the loss of the discovery service change no state: a new
+configuration does not affect it, and without discovery the process serves with the last worker list.
 """
 
 from __future__ import annotations
@@ -13,38 +12,42 @@
 
 
 class State(Enum):
-    STARTING = "starting"  # no predecessor, and no list of workers yet
-    SUCCEEDING = "succeeding"  # a predecessor serves, and goes on until this process is able to
+    """The values are written to logs and answers."""
+
+    STARTING = "starting"  # no predecessor, and no worker list yet
+    SUCCEEDING = "succeeding"  # a predecessor serves until this process is ready
     READY = "ready"
-    DRAINING = "draining"  # told to drain; the front may not have heard the no yet
-    DRAINED = "drained"  # what still comes is served, one request a connection
-    HANDING_OVER = "handing over"  # a successor accepts; what was taken here ends here
-    LASTING = "lasting"  # told to end; serves on for as long as what it takes can still be answered
-    ENDING = "ending"  # it has said no; the front may not have heard that yet
-    LEAVING = "leaving"  # nothing is accepted any more
+    DRAINING = "draining"  # health checks fail; load balancers may not have noticed yet
+    DRAINED = "drained"  # requests that still arrive are served, one per connection
+    HANDING_OVER = "handing over"  # a successor accepts; requests accepted here are finished here
+    LASTING = "lasting"  # told to end, but still serves while new requests can be answered in time
+    ENDING = "ending"  # health checks fail; load balancers may not have noticed yet
+    LEAVING = "leaving"  # accepts nothing more and finishes what it has
 
 
 class Event(Enum):
-    WORKERS_KNOWN = auto()  # it knows a list of workers
+    """What may change the state."""
+
+    WORKERS_KNOWN = auto()  # a worker list is known, or none came in time
     DRAIN = auto()  # an operator's order
-    RESUME = auto()  # its end
-    DRAIN_PROPAGATED = auto()  # the front has had time to hear the no and to stop sending
+    RESUME = auto()  # an operator's order that ends a drain
+    DRAIN_PROPAGATED = auto()  # load balancers have had time to see failing health checks or to stop sending
     SUCCESSOR_READY = auto()
     SUCCESSOR_LOST = auto()
     PREDECESSOR_LOST = auto()
     TERM = auto()  # SIGTERM or SIGINT
     RELOAD = auto()  # SIGHUP
-    LIST_GONE = auto()  # the register has fallen silent
+    WORKER_LIST_LOST = auto()  # the discovery service is silent
 
 
 class FrontMode(NamedTuple):
-    """What the fronts do."""
+    """What the fronts do in a state."""
 
-    healthy: bool  # `/healthz` says yes
-    accepting: bool
-    keep_alive: bool  # a connection may bring a further request
-    close_idle: bool  # connections on which nothing is asked are closed
-    shutting_down: bool = False  # for good
+    healthy: bool  # whether `/healthz` answers 200
+    accepting: bool  # whether new connections are accepted
+    keep_alive: bool  # whether a connection may carry further requests
+    close_idle: bool  # whether connections without a request are closed
+    shutting_down: bool = False  # whether the process never accepts again
 
 
 FRONT_MODES = {
@@ -61,7 +64,7 @@
     ),
 }
 
-_MOVES: dict[State, dict[Event, State]] = {
+_STATE_CHANGES: dict[State, dict[Event, State]] = {
     State.STARTING: {
         Event.WORKERS_KNOWN: State.READY, Event.SUCCESSOR_READY: State.HANDING_OVER, Event.TERM: State.ENDING,
     },
@@ -85,36 +88,42 @@
     State.LEAVING: {},
 }  # fmt: skip
 
-TABLE = {(state, event): moves.get(event, state) for state, moves in _MOVES.items() for event in Event}
-ORDERED = {Event.DRAIN: True, Event.RESUME: False}
-# Orders come too late: another process serves, or is to.
-DEAF = frozenset({State.HANDING_OVER, State.LASTING, State.ENDING, State.LEAVING})
+TRANSITIONS = {
+    (state, event): changes.get(event, state) for state, changes in _STATE_CHANGES.items() for event in Event
+}
+DRAINED_BY_ORDER = {Event.DRAIN: True, Event.RESUME: False}
+# In these states another process serves or is expected to, so a drain or resume would have no effect.
+STATES_REFUSING_ORDERS = frozenset({State.HANDING_OVER, State.LASTING, State.ENDING, State.LEAVING})
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
+    """The state of a router process and the operator's drain order."""
+
     state: State
-    drained: bool = False  # an operator's order: it outlives a hand-over, a restart, a successor that is lost
+    drained: bool = False  # a drain order is in force; survives hand-overs, restarts and a lost successor
 
     @property
     def front_mode(self) -> FrontMode:
+        """The mode of the fronts in this state."""
         return FRONT_MODES[self.state]
 
     @property
     def serves(self) -> bool:
-        """Whether it can serve, though it may be told not to."""
+        """Whether it is able to serve requests, even if drained."""
         return self.state not in (State.STARTING, State.SUCCEEDING, State.LEAVING)
 
     def accepts(self, event: Event) -> bool:
-        """Whether an operator's order means anything to it still."""
-        return event not in ORDERED or self.state not in DEAF
+        """False for an operator's order in a state that refuses orders."""
+        return event not in DRAINED_BY_ORDER or self.state not in STATES_REFUSING_ORDERS
 
 
 def step(instance: Instance, event: Event) -> Instance:
+    """The instance after an event; events that a state does not handle change nothing."""
     if not instance.accepts(event):
         return instance
-    drained = ORDERED.get(event, instance.drained)
-    state = TABLE[instance.state, event]
-    if state is State.READY and drained:  # READY stands in the table for "serve, unless told otherwise"
+    drained = DRAINED_BY_ORDER.get(event, instance.drained)
+    state = TRANSITIONS[instance.state, event]
+    if state is State.READY and drained:  # the table does not distinguish a drained instance
         state = State.DRAINING
     return Instance(state, drained)
--- a/yewhook/operations/management_endpoint.py
+++ b/yewhook/operations/management_endpoint.py
@@ -1,7 +1,7 @@
-"""The management endpoint: a second address, for operators, that speaks HTTP/1.1, one call a connection.
+"""The management endpoint: a second listening address for operators; HTTP/1.1, one request per connection.
 
-Its answers are owed within 1 s under any load, so its sockets come first in each turn of the loop, and the
-clients' room is reckoned without the descriptors that it may use.
+It must answer within 1 s under any load. So its sockets are handled first in each turn of the loop, and the
+descriptors that it may use are left out of the clients' budget.
 """
 
 from __future__ import annotations
@@ -19,64 +19,73 @@
 from ..service import Service, listen
 from .instance import Event
 
-MAX_CONNECTIONS = 24  # connections at once; beyond them the oldest one gives way
-RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 2  # kept for it: callers, listener, and one being accepted
-HEAD_MOST, BODY_MOST = 4096, 1024  # bytes of one call
-ARRIVE = 5.0  # s for a call to arrive whole
-ACCEPT_AT_ONCE = 8  # a turn; who connects in crowds is not to push a caller out before its call is read
+MAX_CONNECTIONS = 24  # a further one closes the oldest
+RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 2  # connections, the listener, and one being accepted
+MAX_HEAD_BYTES = 4096
+MAX_BODY_BYTES = 1024
+REQUEST_TIMEOUT_S = 5.0  # for a request to arrive completely
+MAX_ACCEPTS_PER_TURN = 8  # a burst of connections must not close one whose request is not read yet
 
 
-class Refused(Exception):
+class RequestError(Exception):
+    """A request that is answered with an error status and this text."""
+
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-class Caller:
-    """One connection, and the one call on it."""
+class ManagementConnection:
+    """A connection and the one request on it."""
 
     def __init__(self, endpoint: ManagementEndpoint, sock: socket.socket) -> None:
         self._endpoint = endpoint
-        self._size = self._body = 0
+        self._received_bytes = self._body_bytes = 0
         self._target = b""
         self._answered = False
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.channel = Channel(endpoint.loop, sock, self, first=True)
         self._timer = Timer(endpoint.loop)
-        self._timer.set(ARRIVE, self._late)
+        self._timer.set(REQUEST_TIMEOUT_S, self._time_out)
 
     def received(self, data: bytes) -> None:
+        """Parse bytes from the channel."""
         if self._answered or self._parser is None:
             return
         try:
-            self._size += len(data)
+            self._received_bytes += len(data)
             self._parser.feed_data(data)
-            if not self._answered and self._size - self._body > HEAD_MOST:
-                raise Refused(431, "the head is too large")
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade, Refused) as error:
-            cause = error if isinstance(error, Refused) else error.__context__  # a callback's is wrapped
-            wrong = cause if isinstance(cause, Refused) else Refused(400, "not HTTP/1.1")
-            self._answer(wrong.status, str(wrong))
+            if not self._answered and self._received_bytes - self._body_bytes > MAX_HEAD_BYTES:
+                raise RequestError(431, "the head is too large")
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade, RequestError) as error:
+            # The parser wraps an exception that a callback raises.
+            cause = error if isinstance(error, RequestError) else error.__context__
+            rejection = cause if isinstance(cause, RequestError) else RequestError(400, "not HTTP/1.1")
+            self._answer(rejection.status, str(rejection))
 
     def on_url(self, url: bytes) -> None:
+        """Parser callback: a piece of the request target."""
         self._target += url
 
     def on_headers_complete(self) -> None:
+        """Parser callback: the head is complete. Raises RequestError."""
         if self._parser is not None and self._parser.get_http_version() not in ("1.0", "1.1"):
-            raise Refused(400, "not HTTP/1.1")
+            raise RequestError(400, "not HTTP/1.1")
 
     def on_body(self, body: bytes) -> None:
-        self._body += len(body)
-        if self._body > BODY_MOST:
-            raise Refused(413, "the body is too large")
+        """Parser callback: a piece of the body. Raises RequestError."""
+        self._body_bytes += len(body)
+        if self._body_bytes > MAX_BODY_BYTES:
+            raise RequestError(413, "the body is too large")
 
     def on_message_complete(self) -> None:
+        """Parser callback: the request is complete."""
         if self._parser is not None and not self._answered:
             path = self._target.partition(b"?")[0].decode("latin-1")
             self._answer(*self._endpoint.answer(self._parser.get_method().decode("latin-1"), path))
 
-    def _late(self) -> None:
-        self._answer(408, "the call took too long to arrive")
+    def _time_out(self) -> None:
+        self._answer(408, "the request took too long to arrive")
 
     def _answer(self, status: int, text: str, headers: dict[str, str] | None = None) -> None:
         if not self._answered:
@@ -87,55 +96,60 @@
             self._timer.cancel()
 
     def connected(self) -> None:
-        """Accepted connections are up from the start."""
+        """Channel callback; an accepted connection is established from the start."""
 
     def drained(self) -> None:
-        """An answer is small."""
+        """Channel callback; the answer is small enough to be buffered whole."""
 
     def lost(self, error: OSError | None) -> None:
+        """Channel callback: the connection is closed."""
         self._timer.cancel()
-        self._parser = None  # it knows this object, too
+        self._parser = None  # breaks the reference cycle
 
-    def give_way(self) -> None:
+    def abort(self) -> None:
+        """Close the connection at once."""
         self.lost(None)
         self.channel.abort()
 
 
 class ManagementEndpoint:
+    """Listens for operators' requests and answers them."""
+
     def __init__(self, service: Service, address: Address) -> None:
-        """Raises OSError."""
+        """Start listening at `address`. Raises OSError."""
         self.loop, self._service = service.loop, service
-        self._callers: list[Caller] = []  # the oldest first
+        self._connections: list[ManagementConnection] = []  # oldest first
         self._listener = listen(address)
         self.port: int = self._listener.getsockname()[1]
         self.loop.watch(self._listener, selectors.EVENT_READ, self._accept, first=True)
-        self._calls: dict[str, tuple[str, Callable[[], tuple[int, str]]]] = {
+        self._routes: dict[str, tuple[str, Callable[[], tuple[int, str]]]] = {
             "/-/ready": ("GET", self._ready),
-            "/-/drain": ("POST", lambda: self._order(Event.DRAIN)),
-            "/-/resume": ("POST", lambda: self._order(Event.RESUME)),
+            "/-/drain": ("POST", lambda: self._apply_order(Event.DRAIN)),
+            "/-/resume": ("POST", lambda: self._apply_order(Event.RESUME)),
         }
-        self.loop.log("door open", f"operators call {address[0]}:{self.port}")
+        self.loop.log("door open", f"management endpoint at {address[0]}:{self.port}")
 
     def answer(self, method: str, path: str) -> tuple[int, str, dict[str, str]]:
-        if path not in self._calls:
+        """Carry out a request; returns status, body text and header fields of the answer."""
+        if path not in self._routes:
             return 404, "no such path", {}
-        wanted, call = self._calls[path]
-        if method != wanted:
-            return 405, f"{wanted} only", {"Allow": wanted}
+        allowed, call = self._routes[path]
+        if method != allowed:
+            return 405, f"{allowed} only", {"Allow": allowed}
         return *call(), {}
 
     def _ready(self) -> tuple[int, str]:
         instance = self._service.instance
         return 200 if instance.serves else 503, instance.state.value
 
-    def _order(self, event: Event) -> tuple[int, str]:
+    def _apply_order(self, event: Event) -> tuple[int, str]:
         if not self._service.instance.accepts(event):
-            return 409, f"{self._service.instance.state.value}: another process serves, or none is to"
+            return 409, f"{self._service.instance.state.value}: this process accepts no more orders"
         self._service.handle_event(event)
         return 200, self._service.instance.state.value
 
     def _accept(self, mask: int) -> None:
-        for _ in range(ACCEPT_AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
@@ -143,14 +157,17 @@
             except OSError as error:
                 self.loop.log("door accept failed", str(error))
                 return
-            self._callers = [caller for caller in self._callers if not caller.channel.closed]
-            if len(self._callers) >= MAX_CONNECTIONS:
-                self._callers.pop(0).give_way()
-            self._callers.append(Caller(self, sock))
+            self._connections = [
+                connection for connection in self._connections if not connection.channel.closed
+            ]
+            if len(self._connections) >= MAX_CONNECTIONS:
+                self._connections.pop(0).abort()
+            self._connections.append(ManagementConnection(self, sock))
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         self.loop.watch(self._listener, 0, self._accept)
         self._listener.close()
-        for caller in self._callers:
-            if not caller.channel.closed:
-                caller.give_way()
+        for connection in self._connections:
+            if not connection.channel.closed:
+                connection.abort()
--- a/yewhook/operations/orders.py
+++ b/yewhook/operations/orders.py
@@ -1,4 +1,4 @@
-"""What operators have ordered of one instance, and why an order can't be taken. No clock, no I/O."""
+"""Operators' orders for one instance, and the rules for accepting them. Has no clock and does no I/O."""
 
 from __future__ import annotations
 
@@ -7,6 +7,8 @@
 
 
 class Order(Enum):
+    """The values are written to logs, answers and JSON-RPC methods."""
+
     DRAIN = "drain"
     RESUME = "resume"
     UPGRADE = "upgrade"
@@ -14,29 +16,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveOrder:
-    """An order that holds, or is being carried out."""
+    """A drain in force, or an upgrade in progress."""
 
     order: Order
     by: str
-    at: float  # s, on the clock of whoever keeps it
+    at: float  # seconds on the caller's clock
 
 
 class OrderRefused(Exception):
-    """Why an order is not taken, for the operator."""
+    """An order is refused; the text tells the operator why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Orders:
-    """A drain outlives the process; an upgrade is under way until it ends, well or not."""
+    """A drain is kept when the process ends; an upgrade is kept until it succeeds or fails."""
 
     drain: ActiveOrder | None = None
     upgrade: ActiveOrder | None = None
 
     def with_order(self, order: Order, by: str, now: float) -> Orders:
-        """What holds once the order is taken; a drain or resume that is ordered again changes nothing."""
+        """The orders after accepting this one; repeating a drain or resume changes nothing.
+
+        Raises OrderRefused while an upgrade is in progress.
+        """
         if self.upgrade is not None:
-            since = now - self.upgrade.at
-            raise OrderRefused(f"an upgrade by {self.upgrade.by} is under way, since {since:.0f} s ago")
+            elapsed = now - self.upgrade.at
+            raise OrderRefused(f"an upgrade by {self.upgrade.by} is under way, started {elapsed:.0f} s ago")
         if order is Order.UPGRADE:
             return replace(self, upgrade=ActiveOrder(order, by, now))
         if order is Order.RESUME:
@@ -44,5 +49,5 @@
         return self if self.drain is not None else replace(self, drain=ActiveOrder(order, by, now))
 
     def without_upgrade(self) -> Orders:
-        """The upgrade has ended."""
+        """The orders after the upgrade has ended."""
         return replace(self, upgrade=None)
--- a/yewhook/operations/process_neighbours.py
+++ b/yewhook/operations/process_neighbours.py
@@ -1,4 +1,4 @@
-"""What a process makes of its predecessor and successor. No I/O: statuses come in, events go out."""
+"""Derives instance events from the status of the predecessor and successor processes. Does no I/O."""
 
 from __future__ import annotations
 
@@ -7,41 +7,46 @@
 
 from .instance import Event
 
-LOOK_EVERY = 0.1  # s between looks at the process files
-RENEW = 0.25  # s between renewals of the mark, while anybody is there to read it
-HUNG = 1.0  # s without a renewal after which a successor counts as hung
+POLL_INTERVAL_S = 0.1  # between checks of the process files
+READY_RENEWAL_S = 0.25  # between renewals of the ready mark, while a predecessor reads it
+READY_TIMEOUT_S = 1.0  # a successor whose ready mark is older counts as hung
 
 
 class NeighbourStatus(NamedTuple):
-    """The other processes as they are seen at one moment."""
+    """The other processes of the instance, by number, at one poll."""
 
     predecessor: int | None
-    successor: int | None  # the next one
-    ready_age: float | None  # s since a successor said that it accepts; None where none has
+    successor: int | None  # the one started next after this process
+    ready_age: float | None  # seconds since a successor renewed its ready mark; None if none is ready
 
 
 @dataclass(slots=True)
 class Neighbours:
-    """Remembers what has been seen and done."""
+    """Remembers which changes were reported and which successor got the hand-over."""
 
     had_predecessor: bool
-    handed_to: int | None = None
-    succeeded: bool = False
+    handed_over_to: int | None = None
+    successor_ready: bool = False
 
-    def see(self, status: NeighbourStatus) -> list[Event]:
+    def update(self, status: NeighbourStatus) -> list[Event]:
+        """The events that follow from a new status; each change is reported once."""
         events = []
         if self.had_predecessor and status.predecessor is None:
             self.had_predecessor = False
             events.append(Event.PREDECESSOR_LOST)
-        serves = status.successor is not None and status.ready_age is not None and status.ready_age < HUNG
-        if serves is not self.succeeded:
-            self.succeeded = serves
-            events.append(Event.SUCCESSOR_READY if serves else Event.SUCCESSOR_LOST)
+        ready = (
+            status.successor is not None
+            and status.ready_age is not None
+            and status.ready_age < READY_TIMEOUT_S
+        )
+        if ready is not self.successor_ready:
+            self.successor_ready = ready
+            events.append(Event.SUCCESSOR_READY if ready else Event.SUCCESSOR_LOST)
         return events
 
-    def to_hand(self, status: NeighbourStatus) -> int | None:
-        """The successor that is to be told what this process knows: each is told once."""
-        if status.successor is None or status.successor == self.handed_to:
+    def next_handover_target(self, status: NeighbourStatus) -> int | None:
+        """The successor to write a hand-over for, if any; each gets one once."""
+        if status.successor is None or status.successor == self.handed_over_to:
             return None
-        self.handed_to = status.successor
+        self.handed_over_to = status.successor
         return status.successor
