--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders through the agent: drains that outlive a process, and processes that are replaced."""
+"""Operators' orders through the agent: drains that are kept through a crash, and upgrades."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 import pytest
 from settings import ENV
-from test_agent import Running, free_port, published
+from test_agent import RunningAgent, free_port, published_names
 from typer.testing import CliRunner
 
 from yewhook.cli import app
 from yewhook.operations.orders import Order, OrderRefused, Orders
 
 
-class OneRouter(Running):
-    """An agent with one router of the platform's front."""
+class OneRouter(RunningAgent):
+    """An agent with one router that has the platform front."""
 
     def __init__(self, folder: Path) -> None:
         entry = {
@@ -34,8 +34,8 @@
         raw = {"name": "n1", "listen": f"127.0.0.1:{self.port}", "discovery": "127.0.0.1:1", "seed": "1"}
         self.config.write_text(json.dumps(raw | {"settings": ENV, "known": known}))
         super().__init__(folder)
-        self.one = self.agent.instances["n1"]
-        self.at = f"{self.place[0]}:{self.place[1]}"
+        self.instance = self.agent.instances["n1"]
+        self.agent_address = f"{self.address[0]}:{self.address[1]}"
 
     def write(self, folder: Path) -> Path:
         path = folder / "fleet.toml"
@@ -46,7 +46,7 @@
         return path
 
     def command(self, *words: str) -> Any:
-        return self.beside(lambda: CliRunner().invoke(app, [*words, "--agent", self.at]))
+        return self.run_in_thread(lambda: CliRunner().invoke(app, [*words, "--agent", self.agent_address]))
 
     def health(self) -> int:
         def ask() -> int:
@@ -54,7 +54,7 @@
             connection.request("GET", "/healthz", headers={"Connection": "close"})
             return connection.getresponse().status
 
-        return int(self.beside(ask))
+        return int(self.run_in_thread(ask))
 
 
 @pytest.fixture
@@ -65,8 +65,8 @@
     run.agent.close()
 
 
-def test_clients_of_a_stopped_router_are_refused_and_not_left_waiting(router: OneRouter) -> None:
-    # The agent held the socket on: connections came up and stayed unread for as long as it ran.
+def test_connections_to_a_stopped_router_are_refused(router: OneRouter) -> None:
+    # If the agent keeps the listening socket open, connections are established and never read.
     router.until(lambda: router.states() == ["ready"])
     assert router.command("stop", "n1").exit_code == 0
     router.until(lambda: router.states() == ["stopped"])
@@ -77,79 +77,79 @@
     assert router.health() == 200
 
 
-def test_a_drain_holds_over_a_crash_until_the_resume(router: OneRouter) -> None:
+def test_a_drain_is_kept_through_a_crash_until_the_resume(router: OneRouter) -> None:
     router.until(lambda: router.states() == ["ready"])
     done = router.command("drain", "n1", "--by", "the night shift")
     assert done.exit_code == 0 and "drained" in done.output
-    assert router.health() == 503 and published(router) == []
-    pid = router.one.report()["pid"]
+    assert router.health() == 503 and published_names(router) == []
+    pid = router.instance.report()["pid"]
     os.kill(pid, signal.SIGKILL)
-    router.until(lambda: router.one.restarts == 1 and router.states() == ["drained"])
-    assert router.health() == 503 and router.one.report()["pid"] != pid
+    router.until(lambda: router.instance.restarts == 1 and router.states() == ["drained"])
+    assert router.health() == 503 and router.instance.report()["pid"] != pid
     shown = json.loads(router.command("status", "--json").output)[0]
     assert shown["orders"][0]["order"] == "drain" and shown["orders"][0]["by"] == "the night shift"
     assert router.command("resume", "n1").exit_code == 0
     router.until(lambda: router.states() == ["ready"])
-    assert router.health() == 200 and published(router) == ["n1-platform"]
+    assert router.health() == 200 and published_names(router) == ["n1-platform"]
 
 
 def test_an_upgrade_replaces_the_process_and_keeps_the_address(router: OneRouter) -> None:
     router.until(lambda: router.states() == ["ready"])
-    pid = router.one.report()["pid"]
+    pid = router.instance.report()["pid"]
     done = router.command("upgrade", "n1")
-    assert done.exit_code == 0 and str(router.one.report()["pid"]) in done.output
-    assert router.one.report()["pid"] != pid and router.health() == 200
-    router.until(lambda: not router.one._leaving)
-    assert router.one.restarts == 0 and any("upgraded" in line for line in router.log.lines)
+    assert done.exit_code == 0 and str(router.instance.report()["pid"]) in done.output
+    assert router.instance.report()["pid"] != pid and router.health() == 200
+    router.until(lambda: not router.instance._old_processes)
+    assert router.instance.restarts == 0 and any("upgraded" in line for line in router.log.lines)
 
 
 def test_an_upgrade_that_fails_leaves_the_old_process_serving(router: OneRouter) -> None:
     router.until(lambda: router.states() == ["ready"])
-    pid = router.one.report()["pid"]
+    pid = router.instance.report()["pid"]
     router.config.write_text("{")
     done = router.command("upgrade", "n1")
     assert done.exit_code == 1 and "the old one serves on" in done.output
-    assert router.one.report()["pid"] == pid and router.health() == 200
-    assert router.one.orders == Orders()
+    assert router.instance.report()["pid"] == pid and router.health() == 200
+    assert router.instance.orders == Orders()
 
 
-def test_the_old_process_may_be_killed_while_it_is_replaced(router: OneRouter) -> None:
+def test_an_upgrade_completes_if_the_old_process_is_killed_meanwhile(router: OneRouter) -> None:
     router.until(lambda: router.states() == ["ready"])
-    pid = router.one.report()["pid"]
+    pid = router.instance.report()["pid"]
     ended: list[str] = []
-    router.one.order(Order.UPGRADE, "a test", ended.append)
+    router.instance.order(Order.UPGRADE, "a test", ended.append)
     os.kill(pid, signal.SIGKILL)
     router.until(lambda: bool(ended) and router.states() == ["ready"])
-    assert ended == [""] and router.one.report()["pid"] != pid and router.health() == 200
+    assert ended == [""] and router.instance.report()["pid"] != pid and router.health() == 200
 
 
-def test_a_second_order_is_refused_with_who_and_since_when(router: OneRouter) -> None:
+def test_an_order_during_an_upgrade_is_refused_and_names_its_operator(router: OneRouter) -> None:
     router.until(lambda: router.states() == ["ready"])
-    router.one.order(Order.UPGRADE, "the day shift", lambda why_not: None)
+    router.instance.order(Order.UPGRADE, "the day shift", lambda failure: None)
     for words in (("drain", "n1"), ("upgrade", "n1"), ("stop", "n1")):
         done = router.command(*words)
-        if router.one.orders.upgrade is None:
-            break  # it was quicker than the question
+        if router.instance.orders.upgrade is None:
+            break  # the upgrade ended before the order arrived
         assert done.exit_code == 1 and "an upgrade by the day shift is under way" in done.output
-    router.until(lambda: router.one.orders.upgrade is None)
+    router.until(lambda: router.instance.orders.upgrade is None)
 
 
-def test_orders_that_can_not_be_carried_out_are_refused(running_toolcalls: Running) -> None:
+def test_an_upgrade_of_a_tool_calls_front_is_refused(running_toolcalls: RunningAgent) -> None:
     run = running_toolcalls
     run.until(lambda: run.states() == ["ready"])
     with pytest.raises(OrderRefused, match="tool-calls front"):
-        run.agent.instances["n0"].order(Order.UPGRADE, "x", lambda why_not: None)
+        run.agent.instances["n0"].order(Order.UPGRADE, "x", lambda failure: None)
 
 
 @pytest.fixture
-def running_toolcalls(tmp_path: Path) -> Iterator[Running]:
-    run = Running(tmp_path, count=1)
+def running_toolcalls(tmp_path: Path) -> Iterator[RunningAgent]:
+    run = RunningAgent(tmp_path, count=1)
     yield run
     run.agent.end_all()
     run.agent.close()
 
 
-def test_orders_hold_until_they_are_taken_back() -> None:
+def test_orders_stay_in_force_until_they_are_revoked() -> None:
     orders = Orders().with_order(Order.DRAIN, "a", 1.0)
     assert orders.with_order(Order.DRAIN, "b", 2.0) == orders and orders.drain is not None
     upgrading = orders.with_order(Order.UPGRADE, "c", 3.0)
@@ -159,8 +159,8 @@
     assert upgrading.without_upgrade() == orders and orders.with_order(Order.RESUME, "e", 9.0) == Orders()
 
 
-class Lasting(OneRouter):
-    """The same, with a folder for what operators order."""
+class RouterWithStoredState(OneRouter):
+    """The same, with a folder in which the orders are stored."""
 
     def write(self, folder: Path) -> Path:
         path = super().write(folder)
@@ -169,16 +169,16 @@
         return path
 
 
-def test_a_drain_and_a_stop_outlive_a_loss_of_agent_and_routers(tmp_path: Path) -> None:
-    first = Lasting(tmp_path)
+def test_a_drain_and_a_stop_survive_the_loss_of_agent_and_routers(tmp_path: Path) -> None:
+    first = RouterWithStoredState(tmp_path)
     first.until(lambda: first.states() == ["ready"])
     assert first.command("drain", "n1", "--by", "the night shift").exit_code == 0
-    pid = first.one.report()["pid"]
-    # Power is gone: nothing is told to end, and the next agent has the folder alone.
+    pid = first.instance.report()["pid"]
+    # As at a power loss: nothing shuts down in order, and the next agent has only the folder.
     os.kill(pid, signal.SIGKILL)
     first.agent.close()
 
-    second = Lasting(tmp_path)
+    second = RouterWithStoredState(tmp_path)
     second.until(lambda: second.states() == ["drained"])
     shown = json.loads(second.command("status", "--json").output)[0]
     assert shown["orders"][0]["by"] == "the night shift" and second.health() == 503
@@ -188,25 +188,25 @@
     second.until(lambda: second.states() == ["stopped"])
     second.agent.close()
 
-    third = Lasting(tmp_path)
+    third = RouterWithStoredState(tmp_path)
     third.service.loop.run_turn(0.2)
     assert third.states() == ["stopped"]
     third.agent.close()
 
 
-def test_an_order_that_can_not_be_written_down_is_refused(tmp_path: Path) -> None:
-    run = Lasting(tmp_path)
+def test_an_order_that_cannot_be_stored_is_refused(tmp_path: Path) -> None:
+    run = RouterWithStoredState(tmp_path)
     run.until(lambda: run.states() == ["ready"])
-    (tmp_path / "state" / "wanted.new").mkdir()  # no file can take this name
+    (tmp_path / "state" / "wanted.new").mkdir()  # so that the temporary file cannot be created
     failed = run.command("drain", "n1")
-    assert failed.exit_code == 1 and "written down" in failed.output
+    assert failed.exit_code == 1 and "could not be stored" in failed.output
     assert run.states() == ["ready"] and run.health() == 200
     run.agent.end_all()
     run.agent.close()
 
 
-def test_instances_start_a_few_at_a_time(tmp_path: Path) -> None:
-    class Two(Running):
+def test_the_number_of_instances_that_start_at_once_is_limited(tmp_path: Path) -> None:
+    class Two(RunningAgent):
         def write(self, folder: Path) -> Path:
             path = super().write(folder)
             path.write_text(path.read_text().replace("grace_s", "at_a_time = 1\ngrace_s"))
@@ -221,7 +221,7 @@
     run.agent.close()
 
 
-def test_how_far_routers_have_come_back_is_shown(tmp_path: Path) -> None:
+def test_the_recovery_of_routers_is_shown(tmp_path: Path) -> None:
     run = OneRouter(tmp_path)
     text = '[levels]\nmode = "on"\n[recovery]\nmode = "on"\nfolder = "kept"\n'
     (tmp_path / "service.toml").write_text(text)
@@ -229,7 +229,7 @@
     line = 'config = "n1.json"'
     path.write_text(path.read_text().replace(line, f'{line}\nsettings = "service.toml"'))
     run.service.reload()
-    run.until(lambda: run.states() == ["ready"] and bool(run.one.report()["recovery"]))
+    run.until(lambda: run.states() == ["ready"] and bool(run.instance.report()["recovery"]))
     shown = run.command("recovery", "show")
     assert shown.exit_code == 0 and "n1\tready\tnothing known for" in shown.output
     assert "waits for a list with a reader and a writer" in shown.output
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is started: its command line, its signals, its logs."""
+"""The program as a process: its command line, signals and logs."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     return path
 
 
-def test_serve_starts_and_sigterm_ends_it_with_0(tmp_path: Path) -> None:
+def test_sigterm_right_after_the_start_ends_the_process_in_order(tmp_path: Path) -> None:
     env = os.environ | {"PROXY_CONFIG": str(config(tmp_path)), "PROXY_NAME": "n3"}
     command = [sys.executable, "-m", "yewhook", "serve"]
     with subprocess.Popen(command, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True) as process:
         assert process.stderr is not None
         line = process.stderr.readline()
-        # A signal that came right after this line once killed the process: nothing heeded it yet.
+        # Signal handlers must be installed before this line is written, or the signal kills the process.
         assert " n3 serving: " in line
         process.send_signal(signal.SIGTERM)
         rest = process.stderr.read()
@@ -42,8 +42,8 @@
 
 
 def test_a_router_holds_no_unix_socket(tmp_path: Path) -> None:
-    # Its wake-up pair was one, and the platform grants TCP and UDP over IPv4 only.
-    seen = (
+    # The platform permits TCP and UDP over IPv4 only, so the wake-up for signals must not use a socket pair.
+    program = (
         "import socket\n"
         "def refuse(*_, **__): raise OSError('no Unix sockets here')\n"
         "socket.socketpair = refuse\n"
@@ -51,37 +51,40 @@
         "app(['serve'])\n"
     )
     env = os.environ | {"PROXY_CONFIG": str(config(tmp_path)), "PROXY_NAME": "n3"}
-    command = [sys.executable, "-c", seen]
+    command = [sys.executable, "-c", program]
     with subprocess.Popen(
         command, cwd=ROOT, env=env, stdin=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True
     ) as process:
         assert process.stderr is not None
         assert " n3 serving: " in process.stderr.readline()
-        unix = {line.split()[6] for line in Path("/proc/net/unix").read_text().splitlines()[1:]}
-        files = [os.readlink(path) for path in Path(f"/proc/{process.pid}/fd").iterdir()]
+        unix_inodes = {line.split()[6] for line in Path("/proc/net/unix").read_text().splitlines()[1:]}
+        open_files = [os.readlink(path) for path in Path(f"/proc/{process.pid}/fd").iterdir()]
         process.send_signal(signal.SIGTERM)
         process.stderr.read()
-    assert files and not [name for name in files if name.removeprefix("socket:[").rstrip("]") in unix]
+    assert open_files and not [
+        name for name in open_files if name.removeprefix("socket:[").rstrip("]") in unix_inodes
+    ]
 
 
-def test_sighup_reads_the_file_anew_and_never_ends_the_process(tmp_path: Path) -> None:
-    # SIGHUP had no handler and so ended the process. The variable is as old as it: the file wins.
+def test_sighup_reloads_the_configuration_and_never_ends_the_process(tmp_path: Path) -> None:
+    # Without a handler SIGHUP ends the process. At a reload the file takes precedence over the environment,
+    # which is as old as the process.
     path = config(tmp_path)
     env = os.environ | {"PROXY_CONFIG": str(path), "PROXY_NAME": "n3", "PROXY_DISCOVERY": "127.0.0.1:1"}
     command = [sys.executable, "-m", "yewhook", "serve"]
     with subprocess.Popen(command, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True) as process:
         assert process.stderr is not None
 
-        def told(what: str) -> bool:
-            return any(what in line for line in iter(process.stderr.readline, ""))  # type: ignore[union-attr]
+        def logged(text: str) -> bool:
+            return any(text in line for line in iter(process.stderr.readline, ""))  # type: ignore[union-attr]
 
-        assert told(" n3 serving: ")
+        assert logged(" n3 serving: ")
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
-        assert told(" n3 reload refused: ")
+        assert logged(" n3 reload refused: ")
         config(tmp_path, discovery="127.0.0.1:2")
         process.send_signal(signal.SIGHUP)
-        assert told(" n3 reloaded: discovery is now at 127.0.0.1:2")
+        assert logged(" n3 reloaded: discovery is now at 127.0.0.1:2")
         process.send_signal(signal.SIGTERM)
         assert process.wait(timeout=20) == 0
 
@@ -98,7 +101,7 @@
         ({"settings": {}}, "config.json: settings: "),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(
+def test_an_invalid_configuration_is_reported_in_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, changes: dict[str, object], complaint: str
 ) -> None:
     monkeypatch.setenv("PROXY_CONFIG", str(config(tmp_path, **changes)))
@@ -107,7 +110,7 @@
         assert done.exit_code == 2 and complaint in done.output and "Traceback" not in done.output
 
 
-def test_the_other_commands(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_version_check_browse_and_status_commands(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     run = CliRunner().invoke
     monkeypatch.delenv("PROXY_CONFIG", raising=False)
     assert run(app, ["version"]).output.strip() == __version__
@@ -132,13 +135,13 @@
     log("stopped")
     now[0] = SPAN + 1
     log("accept failed", "why")
-    # Only a line that is written is made into a record: bad clients cause them by the hundred.
-    made: list[object] = []
-    monkeypatch.setattr("yewhook.log.logging.LogRecord", lambda *args: made.append(args))
+    # Suppressed lines must not create log records, since misbehaving clients cause hundreds of them.
+    records: list[object] = []
+    monkeypatch.setattr("yewhook.log.logging.LogRecord", lambda *args: records.append(args))
     for _ in range(BURST):
         log._limit.left_out("accept failed")
     log("accept failed", "why")
-    assert not made
+    assert not records
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == BURST + 2
     assert lines[-1].endswith("(5 lines like this were left out)")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""How a process ends: once, however many of its ends fall due together."""
+"""The shutdown of a process: its fronts are closed once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Front:
-    """Stands in for a front that is busy for as long as the test says."""
+    """A fake front that is busy for as long as the test sets it."""
 
     grace = 3.0
     accept_after_term = 0.0
@@ -21,33 +21,33 @@
         self.closed = 0
 
     def reload(self) -> Callable[[], str]:
-        raise AssertionError("nobody reloads here")
+        raise AssertionError("no reload is expected")
 
     has_workers = True
 
     def set_mode(self, mode: FrontMode) -> None:
-        """Nothing is accepted."""
+        """Ignored: it accepts nothing."""
 
     def move_streams(self, part: float) -> None:
-        """There are no streams."""
+        """Ignored: it has no streams."""
 
     def end_all(self) -> None:
-        """There is nothing to break off."""
+        """Ignored: it has no requests."""
 
     def close(self) -> None:
         self.closed += 1
 
 
-def test_a_process_ends_once_though_two_of_its_ends_fall_due_together() -> None:
-    # What it had was finished in the sweep of its last moment: its fronts were closed a second time, and
-    # `handler failed` told of a closed socket.
+def test_fronts_are_closed_once_if_both_ends_of_the_shutdown_fall_into_one_turn() -> None:
+    # If the last request finishes in the turn in which the flush timeout expires, both stop the process.
+    # Closing the fronts a second time would use a closed socket, which is logged as `handler failed`.
     now = [100.0]
     loop, front = Loop(Log("test"), lambda: now[0]), Front()
     service = Service(loop.log, loop)
     service.fronts.append(front)
     service.begin()
     service.handle_event(Event.TERM)
-    while now[0] < 103.3:  # the last moment comes, and its end 0.2 s later
+    while now[0] < 103.3:  # all streams are ended now; the flush timeout expires 0.2 s later
         now[0] += 0.01
         loop.run_turn(0.0)
     front.busy = False
--- a/yewhook/agent/__init__.py
+++ b/yewhook/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: runs the router instances of one fleet file, and answers about them on loopback."""
+"""The agent: supervises the router instances of one fleet file and serves JSON-RPC requests on loopback."""
--- a/yewhook/agent/agent.py
+++ b/yewhook/agent/agent.py
@@ -1,4 +1,4 @@
-"""The agent itself: starts the instances, answers JSON-RPC requests, and publishes the records."""
+"""The agent: starts the instances, answers JSON-RPC requests, and publishes DNS-SD records."""
 
 from __future__ import annotations
 
@@ -19,106 +19,117 @@
 from ..operations.orders import ActiveOrder, Order, OrderRefused, Orders
 from ..recovery.start_order import next_to_start
 from ..service import Acceptor, listen
-from .fleet_file import FleetFile, Spec
+from .fleet_file import FleetFile, InstanceSpec
 from .instance import Instance, State
 
 if TYPE_CHECKING:
     from ..recovery.desired_state_store import DesiredStateStore
 
-POLL_EVERY = 0.1  # s between looks at the processes
-MAX_PEERS = 64  # connections of those who ask
-PEER_IDLE = 60.0  # s for which a connection is kept on which nothing is asked
-SHOWN = {"levels/show": "levels", "recovery/show": "recovery"}  # each instance's report of that
+POLL_INTERVAL_S = 0.1  # between checks of the processes
+MAX_PEERS = 64  # client connections
+PEER_IDLE_TIMEOUT_S = 60.0
+REPORT_KEYS = {"levels/show": "levels", "recovery/show": "recovery"}  # method -> key of the instance report
 ORDERS = {f"agent/{order.value}": order for order in Order}
 
 
 class AgentPeers(ClientConnections[Peer]):
-    """The connections of those who ask."""
+    """The connections of the agent's clients."""
 
     def __init__(self, loop: Loop, handler: PeerHandler) -> None:
-        super().__init__(loop, PEER_IDLE)
+        super().__init__(loop, PEER_IDLE_TIMEOUT_S)
         self._handler = handler
 
     def accepted(self, sock: socket.socket) -> None:
+        """Serve an accepted connection."""
         self.connections.add(Peer.accepted(self.loop, sock, self._handler))
 
     def room(self) -> bool:
+        """Whether a further connection may be accepted."""
         return len(self.connections) < MAX_PEERS
 
 
 class Agent:
-    """A `Front` of its process: it drains by draining its instances."""
+    """Supervises the instances; as the `Front` of its process it drains by stopping them."""
 
     def __init__(
-        self, loop: Loop, fleet: FleetFile, stop: Callable[[], None], read_again: Callable[[], FleetFile]
+        self, loop: Loop, fleet: FleetFile, stop: Callable[[], None], read_fleet_file: Callable[[], FleetFile]
     ) -> None:
+        """Start to listen and to start the instances. Raises OSError.
+
+        `stop` ends this process; `read_fleet_file` reads the fleet file for a reload.
+        """
         self.loop, self.fleet, self.grace, self.accept_after_term = loop, fleet, fleet.grace, 0.0
-        self._read_again = read_again
+        self._read_fleet_file = read_fleet_file
         self._stop = stop
         self._peers = peers = AgentPeers(loop, self)
         self._folder = tempfile.TemporaryDirectory(prefix="yewhook-agent-")
-        self._book = self._open(fleet.state) if fleet.state is not None else None
-        self.instances = {spec.name: self._instance(spec) for spec in fleet.instances}
+        self._desired_state_store = self._open_desired_state(fleet.state) if fleet.state is not None else None
+        self.instances = {spec.name: self._create_instance(spec) for spec in fleet.instances}
         listener = listen(fleet.listen)
         self.port: int = listener.getsockname()[1]
         self._acceptor = Acceptor(loop, listener, peers.room, peers.free_connections, peers.accepted)
         for instance in self.instances.values():
-            self._bring_up(instance)
-        self._look()
+            self._restore_desired_state(instance)
+        self._poll()
 
-    def _instance(self, spec: Spec) -> Instance:
-        return Instance(self.loop, spec, self._publish, Path(self._folder.name), self._write_down)
+    def _create_instance(self, spec: InstanceSpec) -> Instance:
+        return Instance(self.loop, spec, self._publish, Path(self._folder.name), self._store_desired_state)
 
-    def _bring_up(self, instance: Instance) -> None:
-        """As operators want it, by what was written down before this agent's start."""
-        if self._book is None:
+    def _restore_desired_state(self, instance: Instance) -> None:
+        """Restore the stored drain and stop orders of an instance, and start it unless it was stopped."""
+        if self._desired_state_store is None:
             return instance.wait_for_start()
-        wish = self._book.state.instance(instance.spec.name)
-        if wish.drain is not None:
-            since = self.loop.now - max(0.0, time.time() - wish.drain.since)
-            instance.orders = Orders(drain=ActiveOrder(Order.DRAIN, wish.drain.by, since))
-        instance.wanted = wish.runs
-        return instance.wait_for_start() if wish.runs else None
-
-    def _start_some(self) -> None:
+        desired = self._desired_state_store.state.instance(instance.spec.name)
+        if desired.drain is not None:
+            since = self.loop.now - max(0.0, time.time() - desired.drain.since)
+            instance.orders = Orders(drain=ActiveOrder(Order.DRAIN, desired.drain.by, since))
+        instance.wanted = desired.runs
+        return instance.wait_for_start() if desired.runs else None
+
+    def _start_due(self) -> None:
+        """Start waiting instances, up to the limit of instances that start at the same time."""
         states = [(name, instance.state) for name, instance in self.instances.items()]
         waiting = [name for name, state in states if state is State.DUE]
         starting = sum(state is State.STARTING for _, state in states)
         for name in next_to_start(waiting, starting, self.fleet.at_a_time or len(states)):
             self.instances[name].start()
 
-    def _open(self, folder: Path) -> DesiredStateStore:
-        """What operators ordered before this agent's start. Raises OSError."""
-        from ..recovery.desired_state_store import DesiredStateStore  # only where it is written down
+    def _open_desired_state(self, folder: Path) -> DesiredStateStore:
+        """Open the store of the operators' orders. Raises OSError."""
+        from ..recovery.desired_state_store import DesiredStateStore  # only if a fleet file enables it
         from ..recovery.files import Folder
 
         return DesiredStateStore(Folder(folder), self.loop.log)
 
-    def _write_down(self, instance: Instance, orders: Orders, runs: bool) -> None:
-        """What is wanted of it from now on, before anything is done. Raises OrderRefused."""
-        if self._book is None:
+    def _store_desired_state(self, instance: Instance, orders: Orders, runs: bool) -> None:
+        """Store the desired state of an instance before it takes effect. Raises OrderRefused."""
+        if self._desired_state_store is None:
             return
         from ..recovery.desired_state import DesiredInstance, Drained
 
-        given, unix = orders.drain, time.time() - self.loop.now
-        drain = Drained(given.by, given.at + unix) if given is not None else None
+        order, epoch_offset = orders.drain, time.time() - self.loop.now
+        drain = Drained(order.by, order.at + epoch_offset) if order is not None else None
         try:
-            self._book.write(instance.spec.name, DesiredInstance(runs, drain))
+            self._desired_state_store.write(instance.spec.name, DesiredInstance(runs, drain))
         except OSError as error:
-            raise OrderRefused(f"{instance.spec.name}: the order can't be written down: {error}") from error
+            raise OrderRefused(f"{instance.spec.name}: the order could not be stored: {error}") from error
 
-    def _look(self) -> None:
-        self._start_some()
+    def _poll(self) -> None:
+        self._start_due()
         for instance in self.instances.values():
-            instance.look()
-        known = {spec.name for spec in self.fleet.instances}
-        self.instances = {n: one for n, one in self.instances.items() if one.running or n in known}
-        self.loop.after(POLL_EVERY, self._look)
+            instance.poll()
+        configured = {spec.name for spec in self.fleet.instances}
+        self.instances = {
+            name: instance
+            for name, instance in self.instances.items()
+            if instance.running or name in configured
+        }
+        self.loop.after(POLL_INTERVAL_S, self._poll)
 
     def _publish(self) -> None:
-        """Write the records of the instances that are ready; readers see the old file or the new one."""
-        ready = (n.spec for n in self.instances.values() if n.state is State.READY)
-        text = master_file(self.fleet.domain, self.fleet.service, _services(ready))
+        """Write the records of the ready instances, replacing the file atomically."""
+        ready = (instance.spec for instance in self.instances.values() if instance.state is State.READY)
+        text = master_file(self.fleet.domain, self.fleet.service, _service_instances(ready))
         path = self.fleet.records
         try:
             path.parent.mkdir(parents=True, exist_ok=True)
@@ -127,19 +138,20 @@
         except OSError as error:
             self.loop.log("records not written", str(error))
 
-    # ---- what is asked ----
+    # ---- requests ----
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
+        """Answer a JSON-RPC request. Raises RpcError."""
         if method == "agent/status":
             instances = [instance.report() for instance in self.instances.values()]
             return peer.result(request_id, {"instances": instances})
-        if method in SHOWN:
-            keys = ("name", "state", SHOWN[method])
+        if method in REPORT_KEYS:
+            keys = ("name", "state", REPORT_KEYS[method])
             reports = [instance.report() for instance in self.instances.values()]
-            shown = [{key: report[key] for key in keys} for report in reports]
-            return peer.result(request_id, {"instances": shown})
+            selected = [{key: report[key] for key in keys} for report in reports]
+            return peer.result(request_id, {"instances": selected})
         if method in ("levels/pin", "levels/unpin"):
-            return self._tell_levels(peer, request_id, method, params)
+            return self._forward_to_routers(peer, request_id, method, params)
         if method == "agent/shutdown":
             self._stop()
             return peer.result(request_id, {})
@@ -158,16 +170,16 @@
                 raise RpcError(Code.INVALID_REQUEST, f"an upgrade by {upgrade.by} is under way")
             runs = method != "agent/stop"
             try:
-                self._write_down(instance, instance.orders, runs)
+                self._store_desired_state(instance, instance.orders, runs)
             except OrderRefused as error:
                 raise RpcError(Code.INTERNAL_ERROR, str(error)) from None
             instance.wanted = runs
             actions[method](instance)
             return peer.result(request_id, instance.report())
 
-        def done(why_not: str) -> None:
-            if why_not:
-                peer.error(request_id, RpcError(Code.INTERNAL_ERROR, f"{instance.spec.name}: {why_not}"))
+        def done(failure: str) -> None:
+            if failure:
+                peer.error(request_id, RpcError(Code.INTERNAL_ERROR, f"{instance.spec.name}: {failure}"))
             else:
                 peer.result(request_id, instance.report())
 
@@ -177,87 +189,98 @@
             raise RpcError(Code.INVALID_REQUEST, str(error)) from None
         return None
 
-    def _tell_levels(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
-        """Tell one router or all; the answer names those that were told and those that could not be."""
+    def _forward_to_routers(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
+        """Forward a request to one router or to all.
+
+        The answer lists the routers that carried it out and those that did not. Raises RpcError.
+        """
         name = params.get("name")
-        wanted = [one for one in self.instances.values() if name is None or one.spec.name == name]
-        if not wanted:
+        targets = [
+            instance for instance in self.instances.values() if name is None or instance.spec.name == name
+        ]
+        if not targets:
             raise RpcError(Code.INVALID_PARAMS, f"no instance named {name!r}")
         if method == "levels/pin":
-            parse_pin(params)  # a mistake is told once, by the agent
-        told: dict[str, bool] = {}
-
-        def heard(name: str, well: bool) -> None:
-            told[name] = well
-            if len(told) == len(wanted):
-                done = {
-                    "told": sorted(n for n in told if told[n]),
-                    "not_told": sorted(n for n in told if not told[n]),
+            parse_pin(params)  # reports invalid parameters once instead of once per router
+        succeeded: dict[str, bool] = {}
+
+        def answered(name: str, success: bool) -> None:
+            succeeded[name] = success
+            if len(succeeded) == len(targets):
+                result = {
+                    "told": sorted(name for name in succeeded if succeeded[name]),
+                    "not_told": sorted(name for name in succeeded if not succeeded[name]),
                 }
-                peer.result(request_id, done)
+                peer.result(request_id, result)
 
-        for one in wanted:
-            hear = partial(heard, one.spec.name)
-            if one.line is None:
-                hear(False)
+        for instance in targets:
+            callback = partial(answered, instance.spec.name)
+            if instance.link is None:
+                callback(False)
             else:
-                one.line.tell(method, params, hear)
+                instance.link.tell(method, params, callback)
 
     def notification(self, peer: Peer, method: str, params: dict[str, Any]) -> None:
-        """Nothing is announced to the agent."""
+        """Ignored: no notification is defined."""
 
     def gone(self, peer: Peer) -> None:
+        """A client connection is closed."""
         self._peers.connections.discard(peer)
 
     def slow(self, peer: Peer, slow: bool) -> None:
-        """Reports are short."""
+        """Ignored: answers are small."""
 
-    # ---- a new fleet file ----
+    # ---- reload ----
 
     def reload(self) -> Callable[[], str]:
-        fleet = self._read_again()
+        """Read the fleet file; returns what puts it into effect. Raises ConfigError."""
+        fleet = self._read_fleet_file()
 
-        def put_in_force() -> str:
-            """All but where the agent listens."""
+        def apply() -> str:
+            """Put everything into effect except the address at which the agent listens."""
             self.fleet, self.grace = fleet, fleet.grace
-            wanted = {spec.name: spec for spec in fleet.instances}
-            for name in self.instances.keys() - wanted.keys():
+            specs = {spec.name: spec for spec in fleet.instances}
+            for name in self.instances.keys() - specs.keys():
                 self.instances[name].stop()
-            for name, spec in wanted.items():
+            for name, spec in specs.items():
                 if name in self.instances:
                     self.instances[name].reload(spec)
                 else:
-                    self.instances[name] = self._instance(spec)
-                    self._bring_up(self.instances[name])
+                    self.instances[name] = self._create_instance(spec)
+                    self._restore_desired_state(self.instances[name])
             self._publish()
-            return f"{len(wanted)} instances"
+            return f"{len(specs)} instances"
 
-        return put_in_force
+        return apply
 
-    # ---- the end ----
+    # ---- shutdown ----
 
     @property
     def busy(self) -> bool:
+        """Whether a router process still runs."""
         return any(instance.running for instance in self.instances.values())
 
     @property
     def has_workers(self) -> bool:
+        """Always true: the agent itself needs no workers."""
         return True
 
     def set_mode(self, mode: FrontMode) -> None:
-        """The agent answers until its last instance has stopped."""
+        """Stop the instances if the process is to end; the agent answers until the last has stopped."""
         if not mode.keep_alive:
             for instance in self.instances.values():
                 instance.stop()
 
     def move_streams(self, part: float) -> None:
-        """Its instances see to their own streams."""
+        """Nothing: the routers move their own streams."""
 
     def end_all(self) -> None:
+        """Kill the router processes that still run."""
         for instance in self.instances.values():
             instance.kill()
 
     def close(self) -> None:
+        """Stop listening, wait for the router processes, and withdraw their records."""
         self._acceptor.stop()
         for peer in list(self._peers.connections):
             peer.close()
@@ -267,7 +290,7 @@
         self._folder.cleanup()
 
 
-def _services(specs: Iterable[Spec]) -> Iterable[ServiceInstance]:
+def _service_instances(specs: Iterable[InstanceSpec]) -> Iterable[ServiceInstance]:
     for spec in specs:
-        for front, place in spec.fronts.items():
-            yield ServiceInstance(f"{spec.name}-{front}", place, texts={"name": spec.name, "front": front})
+        for front, address in spec.fronts.items():
+            yield ServiceInstance(f"{spec.name}-{front}", address, texts={"name": spec.name, "front": front})
--- a/yewhook/service.py
+++ b/yewhook/service.py
@@ -1,4 +1,4 @@
-"""One process: its loop, its fronts, and how it ends in good order."""
+"""The process: its loop, its fronts, its signals, and its orderly shutdown."""
 
 from __future__ import annotations
 
@@ -18,27 +18,31 @@
 from .operations.instance import Event, FrontMode, Instance, State, step
 from .transient_errors import is_transient, retry_transient
 
-OWN_FILES = 16  # of the limit on descriptors: standard streams, listeners, the selector, the wake-up pair
-WORKERS_PART = 3  # one part in so many is kept free of clients, for what they ask for
-BODIES_PART = 8  # one part in so many of the memory may hold bodies of requests
-KEEP_ACCEPTING = 0.5  # s after the first no in which the front has heard it and stopped sending
-KILLED_AFTER = 0.7  # s after the grace at which the platform may kill what still runs
-THIN_OUT = 0.1  # s between looks at the streams that still run, a part of which is moved at each
-LAST_MOMENT = 0.4  # s before that at which all that is still open is ended in good order
-LAST_BYTES = 0.3  # s of that moment in which the last answers may still be on their way
-RELOAD_TRIES, RELOAD_AGAIN = 15, 0.2  # tries of a reload for want of descriptors; s between them
-ABLE_EVERY, ABLE_MOST = 0.02, 1.0  # s between looks for a first list; s after which it serves without one
-BACKLOG = 4096  # connections that may wait; one that finds no place comes again after 1 s at the soonest
-ACCEPT_AT_ONCE, ACCEPT_AGAIN = 64, 0.05  # connections a turn; s until a full process tries again
+PROCESS_DESCRIPTORS = 16  # for the standard streams, the listeners, the selector and the wake-up pipe
+WORKER_SOCKETS_DIVISOR = 3  # one part in this many of the sockets is reserved for workers
+BODY_MEMORY_DIVISOR = 8  # request bodies may take one part in this many of the memory
+DRAIN_PROPAGATION_S = 0.5  # from the first failed health check until load balancers have stopped sending
+KILL_AFTER_GRACE_S = 0.7  # from the end of the grace period until the platform may kill the process
+MOVE_STREAMS_INTERVAL_S = 0.1  # at each interval a part of the streams that still run is moved
+END_ALL_BEFORE_KILL_S = 0.4  # before the platform may kill the process, all open requests are ended
+FLUSH_TIMEOUT_S = 0.3  # after that, for the last answers to be sent
+IDLE_POLL_S = 0.02  # between checks whether all requests are finished
+RELOAD_TRIES = 15  # of a reload that fails for lack of descriptors
+RELOAD_AGAIN = 0.2  # s; between tries
+WORKER_LIST_POLL_S = 0.02
+WORKER_LIST_TIMEOUT_S = 1.0  # after which the process serves without a worker list
+LISTEN_BACKLOG = 4096  # connections; a client that finds the queue full retries after 1 s at the earliest
+MAX_ACCEPTS_PER_TURN = 64
+ACCEPT_RETRY_S = 0.05  # until accepting is tried again for lack of room or after an error
 
 
 def adopt_listener(descriptor: int) -> socket.socket:
-    """The listening socket that this process was started with; others may have it, too."""
+    """The inherited listening socket, which other processes may share. Raises ConfigError."""
     try:
         listener = socket.socket(fileno=descriptor)
         listens = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     except OSError as error:
-        raise ConfigError(f"PROXY_ACCEPT_FD: descriptor {descriptor} is no socket: {error}") from error
+        raise ConfigError(f"PROXY_ACCEPT_FD: descriptor {descriptor} is not a socket: {error}") from error
     if not listens:
         raise ConfigError(f"PROXY_ACCEPT_FD: the socket of descriptor {descriptor} does not listen")
     listener.setblocking(False)
@@ -46,39 +50,45 @@
 
 
 def listen(address: Address) -> socket.socket:
-    """A socket that listens at an address; for a process's start. Raises OSError."""
+    """Open a socket that listens at `address`; may block for retries. Raises OSError."""
     listener = retry_transient(lambda: socket.socket(socket.AF_INET, socket.SOCK_STREAM))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind(address)
-    listener.listen(BACKLOG)
+    listener.listen(LISTEN_BACKLOG)
     listener.setblocking(False)
     return listener
 
 
 class ResourceBudget:
-    """What may still be opened or held: clients leave some sockets for what they ask for."""
+    """Limits on open sockets and request bodies; a part of the sockets is reserved for workers."""
 
     def __init__(self, loop: Loop, limits: Limits, kept: int = 0) -> None:
-        """`kept` = descriptors that neither clients nor workers get."""
+        """`kept` = descriptors that neither clients nor workers may use."""
         self._loop, self._sockets = loop, limits.sockets
-        self._most = self._whole = limits.sockets - OWN_FILES - kept
-        self.body_bytes = limits.memory // BODIES_PART  # bytes
+        self._limit = self._total_limit = limits.sockets - PROCESS_DESCRIPTORS - kept
+        self.body_bytes = limits.memory // BODY_MEMORY_DIVISOR
 
     def set_shared(self, shared: bool) -> None:
-        """Leave a half to the other process of this instance, as far as it is not in use already."""
-        half = self._whole // 2
-        self._most = max(half, min(self._whole, self._loop.sockets + OWN_FILES)) if shared else self._whole
+        """Leave half of the sockets, except those in use, to the other process of this instance."""
+        half = self._total_limit // 2
+        self._limit = (
+            max(half, min(self._total_limit, self._loop.sockets + PROCESS_DESCRIPTORS))
+            if shared
+            else self._total_limit
+        )
 
     def can_open_client(self) -> bool:
-        clients = self._most - self._sockets * self._most // (self._whole * WORKERS_PART)
+        """Whether a client connection may be accepted."""
+        clients = self._limit - self._sockets * self._limit // (self._total_limit * WORKER_SOCKETS_DIVISOR)
         return self._loop.accepted < clients and self.can_open_worker()
 
     def can_open_worker(self) -> bool:
-        return self._loop.sockets < self._most
+        """Whether a connection to a worker may be opened."""
+        return self._loop.sockets < self._limit
 
 
 class Acceptor:
-    """Accepts connections while there is room for them."""
+    """Accepts connections from a listening socket while there is room for them."""
 
     def __init__(
         self,
@@ -88,132 +98,143 @@
         free_connections: Callable[[], None],
         accepted: Callable[[socket.socket], None],
     ) -> None:
+        """`room` says whether one more is allowed; `free_connections` closes idle ones to make room."""
         self._loop, self._listener = loop, listener
         self._room, self._free_connections, self._accepted = room, free_connections, accepted
-        self._again = Timer(loop)
+        self._resume_timer = Timer(loop)
         self._paused = self._closed = False
-        # Since when connections may wait in the kernel's queue, and whether some were left there.
-        self._empty_at, self._left = loop.now, False
+        # When the kernel's queue was last seen empty, and whether connections were left in it since.
+        self._queue_empty_at, self._queue_left = loop.now, False
         loop.watch(listener, selectors.EVENT_READ, self._accept)
 
     @property
     def waiting_since(self) -> float:
-        """Since when a connection that is accepted now may have waited, with its request, in the kernel's
-        queue (the loop's clock)."""
-        return self._empty_at if self._left else max(self._empty_at, self._loop.previous_poll_at)
+        """The loop's time since which a connection accepted now may have waited in the kernel's queue."""
+        return (
+            self._queue_empty_at
+            if self._queue_left
+            else max(self._queue_empty_at, self._loop.previous_poll_at)
+        )
 
-    def _leave(self) -> None:
-        self._empty_at, self._left = self.waiting_since, True
+    def _note_queue_left(self) -> None:
+        self._queue_empty_at, self._queue_left = self.waiting_since, True
 
     def _accept(self, mask: int) -> None:
-        self._accept_some()
+        self._accept_batch()
 
-    def _accept_some(self) -> bool:
-        """Take what waits, so many at a time; whether there may be more."""
-        for _ in range(ACCEPT_AT_ONCE):
+    def _accept_batch(self) -> bool:
+        """Accept up to MAX_ACCEPTS_PER_TURN connections; returns whether more may be waiting."""
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             if not self._room():
                 self._free_connections()
                 if not self._room():
                     self._loop.log("too many sockets", f"{self._loop.sockets} open, accepting later")
-                    return self._later()
+                    return self._retry_later()
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
-                self._empty_at, self._left = self._loop.now, False
+                self._queue_empty_at, self._queue_left = self._loop.now, False
                 return False
             except OSError as error:
                 self._loop.log("accept failed", str(error))
-                return self._later()
+                return self._retry_later()
             self._accepted(sock)
-        self._leave()
+        self._note_queue_left()
         return True
 
-    def _later(self) -> bool:
-        """Leave what waits in the kernel's queue for a while; tried at once, it would keep the loop busy."""
-        self._leave()
+    def _retry_later(self) -> bool:
+        """Stop accepting for ACCEPT_RETRY_S, since trying again at once would keep the loop busy."""
+        self._note_queue_left()
         self._loop.watch(self._listener, 0, self._accept)
-        self._again.set(ACCEPT_AGAIN, self._go_on)
+        self._resume_timer.set(ACCEPT_RETRY_S, self._resume)
         return False
 
-    def _go_on(self) -> None:
+    def _resume(self) -> None:
         self._loop.watch(self._listener, selectors.EVENT_READ, self._accept)
 
     def pause(self, paused: bool) -> None:
-        """Leave all that comes in the kernel's queue, or take it again."""
+        """Leave new connections in the kernel's queue, or accept them again."""
         if paused != self._paused and not self._closed:
             self._paused = paused
-            self._leave()
-            self._again.cancel()
+            self._note_queue_left()
+            self._resume_timer.cancel()
             self._loop.watch(self._listener, 0 if paused else selectors.EVENT_READ, self._accept)
 
     def stop(self) -> None:
-        """Take nothing any more: new connections are refused, unless another process has the socket, too."""
+        """Accept what waits, then close the socket.
+
+        New connections are refused from then on unless another process shares the socket.
+        """
         if not self._closed:
             more = not self._paused
-            while more:  # what waits in the kernel's queue would be reset
-                more = self._accept_some()
+            while more:  # connections left in the kernel's queue would be reset
+                more = self._accept_batch()
             self.pause(True)
             self._closed = True
             self._listener.close()
 
 
 class Front(Protocol):
-    grace: float  # s that what it has taken may need to end
-    accept_after_term: float  # s for which it may still take what comes, once it is told to end
+    """What a process needs of a front."""
+
+    grace: float  # seconds that accepted requests may need to finish
+    accept_after_term: float  # seconds for which it may still accept requests after SIGTERM
 
     @property
     def has_workers(self) -> bool:
-        """Whether it knows of anybody who could do the work."""
+        """Whether it knows of workers for its requests."""
 
     def reload(self) -> Callable[[], str]:
-        """Read its configuration anew and check it; returns what puts it in force and says what changed.
+        """Read and check its configuration; returns a function that applies it and describes the changes.
 
         Raises ConfigError, and then nothing has changed.
         """
 
     @property
     def busy(self) -> bool:
-        """Whether something that was taken is not finished."""
+        """Whether an accepted request is not finished."""
 
     def set_mode(self, mode: FrontMode) -> None:
-        """Go on as the instance's new state asks."""
+        """Apply the mode of the instance's new state."""
 
     def move_streams(self, part: float) -> None:
-        """Move that part of the streams that still run, where their clients can go on elsewhere."""
+        """End this fraction of the running streams whose clients can resume them at another router."""
 
     def end_all(self) -> None:
-        """Answer what waits and end the streams that still run: the process is about to go."""
+        """Answer the waiting requests and end the running streams, since the process is about to end."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close its listeners and connections."""
 
 
 class Service:
+    """Runs the fronts of the process through the states of its instance."""
+
     def __init__(self, log: Log, loop: Loop | None = None) -> None:
         self.log, self.loop = log, loop or Loop(log)
         self.fronts: list[Front] = []
-        self.reloaders: list[
-            Callable[[], Callable[[], str]]
-        ] = []  # read anew with the fronts' configurations
+        # Further configurations, each reloaded as by Front.reload.
+        self.reloaders: list[Callable[[], Callable[[], str]]] = []
         self.instance = Instance(State.STARTING)
-        self._began = self.loop.now
-        self._settled = Timer(self.loop)
-        self._end_at = 0.0
-        self._wake: tuple[FileIO, FileIO] | None = None
+        self._began_at = self.loop.now
+        self._state_timer = Timer(self.loop)
+        self._end_all_at = 0.0
+        self._wakeup_pipe: tuple[FileIO, FileIO] | None = None
 
     def handle_signals(self) -> None:
-        """Drain at SIGTERM and SIGINT, reload at SIGHUP; to be called before anything is taken."""
-        # A pipe and no pair of sockets: those are of the Unix kind, which the platform does not grant.
+        """End in order at SIGTERM and SIGINT, reload at SIGHUP; to be called before anything is accepted."""
+        # A pipe rather than a socket pair, since the platform permits no Unix sockets.
         read_end, write_end = retry_transient(os.pipe)
         for end in (read_end, write_end):
             os.set_blocking(end, False)
-        wake_read, wake_write = self._wake = FileIO(read_end), FileIO(write_end, "w")
+        wake_read, wake_write = self._wakeup_pipe = FileIO(read_end), FileIO(write_end, "w")
         signal.set_wakeup_fd(wake_write.fileno(), warn_on_full_buffer=False)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda *_: None)
-        self.loop.watch(wake_read, selectors.EVENT_READ, lambda _: self._signalled(wake_read))
+        self.loop.watch(wake_read, selectors.EVENT_READ, lambda _: self._signals_received(wake_read))
 
     def run(self) -> None:
-        """Serve until told to stop, then finish what was taken."""
+        """Serve until told to end, then finish the accepted requests."""
         gc.collect()
         gc.freeze()
         self.begin()
@@ -221,45 +242,48 @@
         self.log("stopped")
 
     def begin(self) -> None:
-        """Serve as soon as there is a list of workers, or without one where none comes."""
-        self._began = self.loop.now
+        """Apply the initial state; serve once worker lists are known or WORKER_LIST_TIMEOUT_S has passed."""
+        self._began_at = self.loop.now
         for front in self.fronts:
             front.set_mode(self.instance.front_mode)
-        self._look_whether_able()
+        self._check_worker_lists()
 
-    def _look_whether_able(self) -> None:
+    def _check_worker_lists(self) -> None:
         if self.instance.state in (State.STARTING, State.SUCCEEDING):
-            if all(front.has_workers for front in self.fronts) or self.loop.now - self._began >= ABLE_MOST:
+            if (
+                all(front.has_workers for front in self.fronts)
+                or self.loop.now - self._began_at >= WORKER_LIST_TIMEOUT_S
+            ):
                 return self.handle_event(Event.WORKERS_KNOWN)
-            self.loop.after(ABLE_EVERY, self._look_whether_able)
+            self.loop.after(WORKER_LIST_POLL_S, self._check_worker_lists)
         return None
 
-    def _signalled(self, wake: FileIO) -> None:
-        numbers = wake.read(64) or b""  # None where nothing has come
+    def _signals_received(self, wake: FileIO) -> None:
+        numbers = wake.read(64) or b""  # None if the pipe is empty
         if signal.SIGHUP in numbers:
             self.reload()
         if {signal.SIGTERM, signal.SIGINT} & set(numbers):
             self.handle_event(Event.TERM)
 
     def reload(self, tries: int = RELOAD_TRIES) -> None:
-        """Put new configuration files in force: all of them, or none where one is not good.
+        """Reload all configuration files, or none of them if one is invalid.
 
-        `tries` = how often a file may be read that cannot be opened for want of descriptors.
+        `tries` = how often to read files that cannot be opened for lack of descriptors.
         """
         self.handle_event(Event.RELOAD)
         try:
-            ready = [read() for read in [*self.reloaders, *(front.reload for front in self.fronts)]]
+            changes = [read() for read in [*self.reloaders, *(front.reload for front in self.fronts)]]
         except ConfigError as error:
             if is_transient(error) and tries > 1:
                 return self.loop.after(RELOAD_AGAIN, lambda: self.reload(tries - 1))
-            self.log("reload refused", f"{error}; the configuration stays as it was")
+            self.log("reload refused", f"{error}; the configuration is unchanged")
             return None
-        changes = "; ".join(filter(None, [change() for change in ready]))
-        self.log("reloaded", changes or "nothing that can change while it runs has changed")
+        descriptions = "; ".join(filter(None, [apply() for apply in changes]))
+        self.log("reloaded", descriptions or "no setting that can change at run time has changed")
         return None
 
     def handle_event(self, event: Event) -> None:
-        """What moves the instance's state, and what follows from it."""
+        """Step the instance's state machine and act on a change of its state."""
         before, self.instance = self.instance, step(self.instance, event)
         after = self.instance.state
         if after is before.state:
@@ -267,47 +291,53 @@
         self.log("state", f"{before.state.value} to {after.value}")
         for front in self.fronts:
             front.set_mode(self.instance.front_mode)
-        self._settled.cancel()
-        lasts = (
+        self._state_timer.cancel()
+        accept_after_term = (
             min((front.accept_after_term for front in self.fronts), default=0.0)
             if after is State.LASTING
             else 0.0
         )
         if after in (State.DRAINING, State.ENDING, State.LASTING):
-            wait = lasts if after is State.LASTING else KEEP_ACCEPTING
-            self._settled.set(wait, lambda: self.handle_event(Event.DRAIN_PROPAGATED))
+            wait = accept_after_term if after is State.LASTING else DRAIN_PROPAGATION_S
+            self._state_timer.set(wait, lambda: self.handle_event(Event.DRAIN_PROPAGATED))
         if event is Event.TERM:
             grace = max((front.grace for front in self.fronts), default=0.0)
-            whole = grace + KILLED_AFTER - LAST_MOMENT
-            self._end_at = self.loop.now + whole
-            self.loop.after(min(whole, max(2 * KEEP_ACCEPTING, lasts + KEEP_ACCEPTING)), self._thin_out)
+            time_to_end_all = grace + KILL_AFTER_GRACE_S - END_ALL_BEFORE_KILL_S
+            self._end_all_at = self.loop.now + time_to_end_all
+            self.loop.after(
+                min(time_to_end_all, max(2 * DRAIN_PROPAGATION_S, accept_after_term + DRAIN_PROPAGATION_S)),
+                self._move_streams,
+            )
         if after is State.LEAVING:
-            self._finish()
+            self._stop_when_idle()
 
-    def _finish(self) -> None:
+    def _stop_when_idle(self) -> None:
         if any(front.busy for front in self.fronts) or self.loop.finishing:
-            return self.loop.after(0.02, self._finish)
+            return self.loop.after(IDLE_POLL_S, self._stop_when_idle)
         return self._stop()
 
     def _stop(self) -> None:
-        """What was taken may be finished in the very sweep in which the last moment is over."""
+        """Close the fronts and stop the loop, once.
+
+        Finishing the last request and the end of FLUSH_TIMEOUT_S may both call this in one turn.
+        """
         if self.loop.stopped:
             return
         for front in self.fronts:
             front.close()
         self.loop.stopped = True
 
-    def _thin_out(self) -> None:
-        """Streams that came back all at once would fill the queues of those who go on with them."""
-        looks = math.floor((self._end_at - self.loop.now) / THIN_OUT)
-        if looks < 1:
-            return self.loop.after(max(0.0, self._end_at - self.loop.now), self._break_off)
+    def _move_streams(self) -> None:
+        """Move the streams gradually: resumed all at once, they would fill other routers' queues."""
+        intervals = math.floor((self._end_all_at - self.loop.now) / MOVE_STREAMS_INTERVAL_S)
+        if intervals < 1:
+            return self.loop.after(max(0.0, self._end_all_at - self.loop.now), self._end_all)
         for front in self.fronts:
-            front.move_streams(1.0 / looks)
-        return self.loop.after(THIN_OUT, self._thin_out)
+            front.move_streams(1.0 / intervals)
+        return self.loop.after(MOVE_STREAMS_INTERVAL_S, self._move_streams)
 
-    def _break_off(self) -> None:
-        """The platform kills what still runs; a stream broken off first can go on at another router."""
+    def _end_all(self) -> None:
+        """End all streams before the platform kills the process, so that clients can resume them."""
         for front in self.fronts:
             front.end_all()
-        self.loop.after(LAST_BYTES, self._stop)
+        self.loop.after(FLUSH_TIMEOUT_S, self._stop)
