--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -110,11 +110,11 @@
     assert published_names(run) == ["n1-toolcalls"]  # a crashed router must not be discovered
     run.until(lambda: run.states() == ["ready", "ready"])
     assert first.report()["pid"] != pid
-    place = f"{run.address[0]}:{run.address[1]}"
+    agent_address = f"{run.address[0]}:{run.address[1]}"
     runner = CliRunner()
-    shown = run.run_in_thread(lambda: runner.invoke(app, ["status", "--agent", place]))
+    shown = run.run_in_thread(lambda: runner.invoke(app, ["status", "--agent", agent_address]))
     assert shown.exit_code == 0 and "n0" in shown.output and "ready" in shown.output
-    stopped = run.run_in_thread(lambda: runner.invoke(app, ["stop", "n1", "--agent", place]))
+    stopped = run.run_in_thread(lambda: runner.invoke(app, ["stop", "n1", "--agent", agent_address]))
     assert stopped.exit_code == 0
     run.until(lambda: run.states() == ["ready", "stopped"])
     run.run_in_thread(lambda: ask(run.address, "agent/restart", {"name": "n0"}))
@@ -157,22 +157,22 @@
 
     run.until(lambda: level() is not None)
     run.until(lambda: run.agent.instances["n0"].report()["levels"] == {"toolcalls": None})
-    place, runner = f"{run.address[0]}:{run.address[1]}", CliRunner()
-    words = ["levels", "pin", "essential", "--for", "10m", "--reason", "drill", "--agent", place]
+    agent_address, runner = f"{run.address[0]}:{run.address[1]}", CliRunner()
+    words = ["levels", "pin", "essential", "--for", "10m", "--reason", "drill", "--agent", agent_address]
     pinned = run.run_in_thread(lambda: runner.invoke(app, words))
     assert pinned.exit_code == 0 and pinned.output.splitlines() == ["n0 told", "n1 told"]
     run.until(lambda: bool(level() == "essential"))
-    shown = run.run_in_thread(lambda: runner.invoke(app, ["levels", "show", "--agent", place]))
+    shown = run.run_in_thread(lambda: runner.invoke(app, ["levels", "show", "--agent", agent_address]))
     assert "toolcalls=essential for" in shown.output and "pinned for" in shown.output
     assert "n0\ttoolcalls=levels off" in shown.output
-    status = run.run_in_thread(lambda: runner.invoke(app, ["status", "--agent", place]))
+    status = run.run_in_thread(lambda: runner.invoke(app, ["status", "--agent", agent_address]))
     assert "toolcalls=essential" in status.output
     bad = run.run_in_thread(lambda: runner.invoke(app, [*words[:2], "worst", *words[3:]]))
     assert bad.exit_code == 1 and "expected one of full, guarded" in bad.output
     # A router that has stopped is reported as not told.
     run.agent.instances["n0"].stop()
     run.until(lambda: run.states()[0] == "stopped")
-    ended = run.run_in_thread(lambda: runner.invoke(app, ["levels", "unpin", "--agent", place]))
+    ended = run.run_in_thread(lambda: runner.invoke(app, ["levels", "unpin", "--agent", agent_address]))
     assert ended.exit_code == 1 and "n0 could not be told" in ended.output and "n1 told" in ended.output
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -24,8 +24,8 @@
         self.sayings = self.sayings | {
             "call": lambda path, method="GET": f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode(),
             "half": lambda: b"POST /-/drain HTTP/1.1\r\nHo",
-            "long": lambda: b"GET /-/ready HTTP/1.1\r\nx: " + b"y" * 5000,
-            "bulky": lambda: b"POST /-/drain HTTP/1.1\r\nContent-Length: 2000\r\n\r\n" + b"y" * 2000,
+            "long_head": lambda: b"GET /-/ready HTTP/1.1\r\nx: " + b"y" * 5000,
+            "long_body": lambda: b"POST /-/drain HTTP/1.1\r\nContent-Length: 2000\r\n\r\n" + b"y" * 2000,
             "half_ask": lambda: SAYINGS["ask"](id="half")[:-3],
             "end_ask": lambda: SAYINGS["ask"](id="half")[-3:],
         }
@@ -105,8 +105,8 @@
         ("call path=/-/ready method=POST", "405"),
         ("call path=/-/drain", "405"),
         ("raw text=nonsense", "400"),
-        ("long", "431"),
-        ("bulky", "413"),
+        ("long_head", "431"),
+        ("long_body", "413"),
     ],
 )
 def test_an_invalid_management_request_is_an_error_and_changes_nothing(
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -108,7 +108,7 @@
     pid = router.instance.report()["pid"]
     router.config.write_text("{")
     done = router.command("upgrade", "n1")
-    assert done.exit_code == 1 and "the old one serves on" in done.output
+    assert done.exit_code == 1 and "the old one keeps serving" in done.output
     assert router.instance.report()["pid"] == pid and router.health() == 200
     assert router.instance.orders == Orders()
 
@@ -206,13 +206,13 @@
 
 
 def test_the_number_of_instances_that_start_at_once_is_limited(tmp_path: Path) -> None:
-    class Two(RunningAgent):
+    class StartsOneAtATime(RunningAgent):
         def write(self, folder: Path) -> Path:
             path = super().write(folder)
             path.write_text(path.read_text().replace("grace_s", "at_a_time = 1\ngrace_s"))
             return path
 
-    run = Two(tmp_path)
+    run = StartsOneAtATime(tmp_path)
     run.service.loop.run_turn(0.0)
     assert run.states() == ["starting", "due"]
     run.until(lambda: run.states()[0] == "ready")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -47,7 +47,7 @@
     service.fronts.append(front)
     service.begin()
     service.handle_event(Event.TERM)
-    while now[0] < 103.3:  # all streams are ended now; the flush timeout expires 0.2 s later
+    while now[0] < 103.3:  # all streams are ended now; the flush timeout expires 0.3 s later
         now[0] += 0.01
         loop.run_turn(0.0)
     front.busy = False
--- a/yewhook/agent/instance.py
+++ b/yewhook/agent/instance.py
@@ -29,7 +29,7 @@
 
 
 class State(Enum):
-    """The values are written to answers."""
+    """The state of a supervised instance; the values are written to answers."""
 
     DUE = "due"  # to be started once fewer other instances are starting
     STARTING = "starting"  # its process runs and has not answered a probe yet
@@ -199,14 +199,14 @@
             return self._end_upgrade(successor, "")
         if code is not None:
             return self._end_upgrade(
-                successor, f"the new process exited with status {code}; the old one serves on"
+                successor, f"the new process exited with status {code}; the old one keeps serving"
             )
         if self._loop.now >= successor.deadline:
             successor.process.kill()
             successor.process.wait()
             return self._end_upgrade(
                 successor,
-                f"the new process did not serve within {SUCCESSOR_TIMEOUT_S:.0f} s; the old one serves on",
+                f"the new process was not ready in {SUCCESSOR_TIMEOUT_S:.0f} s; the old one keeps serving",
             )
         return successor.link.request_status()
 
@@ -354,8 +354,8 @@
     def _report_orders(self) -> list[dict[str, Any]]:
         active = filter(None, (self.orders.drain, self.orders.upgrade))
         return [
-            {"order": order.order.value, "by": order.by, "since_s": round(self._loop.now - order.at, 1)}
-            for order in active
+            {"order": entry.order.value, "by": entry.by, "since_s": round(self._loop.now - entry.at, 1)}
+            for entry in active
         ]
 
 
--- a/yewhook/operations/instance.py
+++ b/yewhook/operations/instance.py
@@ -12,16 +12,16 @@
 
 
 class State(Enum):
-    """The values are written to logs and answers."""
+    """The state of a router process; the values are written to logs and answers."""
 
     STARTING = "starting"  # no predecessor, and no worker list yet
     SUCCEEDING = "succeeding"  # a predecessor serves until this process is ready
     READY = "ready"
-    DRAINING = "draining"  # health checks fail; load balancers may not have noticed yet
+    DRAINING = "draining"  # health checks fail; upstream load balancers may not have noticed yet
     DRAINED = "drained"  # requests that still arrive are served, one per connection
     HANDING_OVER = "handing over"  # a successor accepts; requests accepted here are finished here
     LASTING = "lasting"  # told to end, but still serves while new requests can be answered in time
-    ENDING = "ending"  # health checks fail; load balancers may not have noticed yet
+    ENDING = "ending"  # health checks fail; upstream load balancers may not have noticed yet
     LEAVING = "leaving"  # accepts nothing more and finishes what it has
 
 
@@ -31,7 +31,7 @@
     WORKERS_KNOWN = auto()  # a worker list is known, or none came in time
     DRAIN = auto()  # an operator's order
     RESUME = auto()  # an operator's order that ends a drain
-    DRAIN_PROPAGATED = auto()  # load balancers have had time to see failing health checks or to stop sending
+    DRAIN_PROPAGATED = auto()  # the wait in DRAINING, LASTING or ENDING is over
     SUCCESSOR_READY = auto()
     SUCCESSOR_LOST = auto()
     PREDECESSOR_LOST = auto()
@@ -88,10 +88,11 @@
     State.LEAVING: {},
 }  # fmt: skip
 
+# Each state and event -> the next state, which is the same one unless listed above.
 TRANSITIONS = {
     (state, event): changes.get(event, state) for state, changes in _STATE_CHANGES.items() for event in Event
 }
-DRAINED_BY_ORDER = {Event.DRAIN: True, Event.RESUME: False}
+DRAINED_BY_ORDER = {Event.DRAIN: True, Event.RESUME: False}  # order -> whether a drain is in force after it
 # In these states another process serves or is expected to, so a drain or resume would have no effect.
 STATES_REFUSING_ORDERS = frozenset({State.HANDING_OVER, State.LASTING, State.ENDING, State.LEAVING})
 
--- a/yewhook/operations/orders.py
+++ b/yewhook/operations/orders.py
@@ -7,7 +7,7 @@
 
 
 class Order(Enum):
-    """The values are written to logs, answers and JSON-RPC methods."""
+    """What operators can order; the values are written to logs, answers and JSON-RPC methods."""
 
     DRAIN = "drain"
     RESUME = "resume"
@@ -19,7 +19,7 @@
     """A drain in force, or an upgrade in progress."""
 
     order: Order
-    by: str
+    by: str  # who gave it
     at: float  # seconds on the caller's clock
 
 
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Orders:
-    """A drain is kept when the process ends; an upgrade is kept until it succeeds or fails."""
+    """The active orders of an instance.
+
+    A drain stays in force when the process ends; an upgrade ends when it succeeds or fails.
+    """
 
     drain: ActiveOrder | None = None
     upgrade: ActiveOrder | None = None
--- a/yewhook/operations/process_neighbours.py
+++ b/yewhook/operations/process_neighbours.py
@@ -45,7 +45,7 @@
         return events
 
     def next_handover_target(self, status: NeighbourStatus) -> int | None:
-        """The successor to write a hand-over for, if any; each gets one once."""
+        """The successor to write a hand-over for, if any; each successor is returned once."""
         if status.successor is None or status.successor == self.handed_over_to:
             return None
         self.handed_over_to = status.successor
--- a/yewhook/service.py
+++ b/yewhook/service.py
@@ -21,7 +21,9 @@
 PROCESS_DESCRIPTORS = 16  # for the standard streams, the listeners, the selector and the wake-up pipe
 WORKER_SOCKETS_DIVISOR = 3  # one part in this many of the sockets is reserved for workers
 BODY_MEMORY_DIVISOR = 8  # request bodies may take one part in this many of the memory
-DRAIN_PROPAGATION_S = 0.5  # from the first failed health check until load balancers have stopped sending
+DRAIN_PROPAGATION_S = (
+    0.5  # after the first failed health check, until upstream load balancers have stopped sending
+)
 KILL_AFTER_GRACE_S = 0.7  # from the end of the grace period until the platform may kill the process
 MOVE_STREAMS_INTERVAL_S = 0.1  # at each interval a part of the streams that still run is moved
 END_ALL_BEFORE_KILL_S = 0.4  # before the platform may kill the process, all open requests are ended
@@ -109,7 +111,10 @@
 
     @property
     def waiting_since(self) -> float:
-        """The loop's time since which a connection accepted now may have waited in the kernel's queue."""
+        """The loop's time since which a connection accepted now may have waited in the kernel's queue.
+
+        Its request may have arrived as early.
+        """
         return (
             self._queue_empty_at
             if self._queue_left
