--- a/tests/recovery/test_snapshot_store.py
+++ b/tests/recovery/test_snapshot_store.py
@@ -149,7 +149,7 @@
 def test_errors_name_another_fleet_another_format_and_another_kind_of_file() -> None:
     with pytest.raises(DecodeError, match="other settings"):
         unpack(pack(snapshot()), "another")
-    with pytest.raises(DecodeError, match="of form 9"):
+    with pytest.raises(DecodeError, match="format version 9"):
         unpack(pack(snapshot()).replace(b"yewhook-snapshot 1 ", b"yewhook-snapshot 9 "), "fleet")
     with pytest.raises(DecodeError, match="not a snapshot"):
         unpack(b"yewhook-handover 1 0 00000000\n", "fleet")
