--- a/tests/test_dnssd.py
+++ b/tests/test_dnssd.py
@@ -1,4 +1,4 @@
-"""DNS-SD records: read, published, ordered."""
+"""Reading, writing and ordering of DNS-SD records."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from yewhook.dnssd import Records, RecordsError, ServiceInstance, master_file, order_instances
 
 
-def test_what_is_published_can_be_browsed(tmp_path: Path) -> None:
-    # A label with a dot or a space, and text with quotes, must come out as they went in.
+def test_published_records_can_be_browsed(tmp_path: Path) -> None:
+    # Dots and spaces in a label and quotes in texts need escapes in a master file.
     instances = [
         ServiceInstance("Lift desk v1.2", ("127.0.0.1", 7001), 1, 5, {"tools": 'a,b "c"', "note": "été"}),
         ServiceInstance("plain", ("127.0.0.2", 7002)),
@@ -23,7 +23,7 @@
     assert records.browse("_other._tcp") == []
 
 
-def test_a_changed_file_is_read_anew_and_a_bad_one_leaves_the_old_records(tmp_path: Path) -> None:
+def test_a_changed_file_is_read_again_and_an_invalid_one_keeps_the_old_records(tmp_path: Path) -> None:
     path = tmp_path / "zone"
     path.write_text(master_file("d.test.", "_t._tcp", [ServiceInstance("a", ("127.0.0.1", 1))]))
     records = Records(path, "d.test.")
@@ -36,7 +36,7 @@
     assert records.refresh() and records.browse("_t._tcp") == []
 
 
-def test_an_instance_without_a_host_is_not_found(tmp_path: Path) -> None:
+def test_an_instance_without_an_address_record_is_not_listed(tmp_path: Path) -> None:
     path = tmp_path / "zone"
     path.write_text("$TTL 5\n_t._tcp IN PTR a._t._tcp\na._t._tcp IN SRV 0 0 1 nowhere\n")
     assert Records(path, "d.test.").browse("_t._tcp") == []
--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -1,4 +1,4 @@
-"""The tool-calls front, played against stand-ins for clients, workers and tool servers."""
+"""The tool-calls front against fake clients, workers and tool servers."""
 
 from __future__ import annotations
 
@@ -21,40 +21,42 @@
 LIMITS = Limits(1024)
 
 
-def line(**message: Any) -> bytes:
-    return json.dumps({"jsonrpc": "2.0"} | message, separators=(",", ":")).encode() + b"\n"
+def message(**fields: Any) -> bytes:
+    return json.dumps({"jsonrpc": "2.0"} | fields, separators=(",", ":")).encode() + b"\n"
 
 
-def ask(id: str = "1", lane: str = "service-log", left: str = "9000", **more: str) -> bytes:
+def chat_request(id: str = "1", lane: str = "service-log", left: str = "9000", **more: str) -> bytes:
     params = {"class": lane, "tenant": "acme", "session": "s1", "patienceMs": int(left), "promptTokens": 900}
-    return line(id=int(id), method="chat/completions", params=params | more)
+    return message(id=int(id), method="chat/completions", params=params | more)
 
 
-def call(id: str = "7", tool: str = "repair-history", **more: str) -> bytes:
+def tool_call(id: str = "7", tool: str = "repair-history", **more: str) -> bytes:
     arguments = {"lift": "B2"}
-    return line(id=int(id), method="tools/call", params={"name": tool, "arguments": arguments} | more)
+    return message(id=int(id), method="tools/call", params={"name": tool, "arguments": arguments} | more)
 
 
-def error(id: str, code: str) -> bytes:
-    return line(id=int(id), error={"code": int(code), "message": "no"})
+def error_response(id: str, code: str) -> bytes:
+    return message(id=int(id), error={"code": int(code), "message": "no"})
 
 
 SAYINGS: dict[str, Callable[..., bytes]] = {
-    "ask": ask,
-    "call": call,
-    "error": error,
-    "read": lambda id="1": line(id=int(id), result={"read": True, "cachedTokens": 0}),
-    "event": lambda text: line(method="notifications/event", params={"event": text}),
-    "served": lambda id="1": line(id=int(id), result={"load": {"x0": 0.5}}),
-    "found": lambda id="1", text="replaced": line(id=int(id), result={"content": [{"text": text}]}),
-    "cancel": lambda id: line(method="notifications/cancelled", params={"requestId": int(id)}),
-    "method": lambda name, id="5": line(id=int(id), method=name),
+    "ask": chat_request,
+    "call": tool_call,
+    "error": error_response,
+    "read": lambda id="1": message(id=int(id), result={"read": True, "cachedTokens": 0}),
+    "event": lambda text: message(method="notifications/event", params={"event": text}),
+    "served": lambda id="1": message(id=int(id), result={"load": {"x0": 0.5}}),
+    "found": lambda id="1", text="replaced": message(id=int(id), result={"content": [{"text": text}]}),
+    "cancel": lambda id: message(method="notifications/cancelled", params={"requestId": int(id)}),
+    "method": lambda name, id="5": message(id=int(id), method=name),
     "raw": lambda text: text.encode() + b"\n",
-    "ok": lambda id="1": line(id=int(id), result={}),
+    "ok": lambda id="1": message(id=int(id), result={}),
 }
 
 
 class ToolCalls(Play):
+    """A tool-calls front with a client, a reader, a writer and a tool server."""
+
     def __init__(self, folder: Path) -> None:
         super().__init__(SAYINGS)
         self.parties = {name: FakePeer() for name in ("reader", "writer", "tool")}
@@ -67,13 +69,14 @@
             "tool_deadline_s = 2\nworker_silence_s = 5\n"
         )
         config = read(folder / "toolcalls.toml")
-        room, path = ResourceBudget(self.service.loop, LIMITS), folder / "toolcalls.toml"
-        self.front = ToolCallsFront(self.service.loop, config, room, 7, lambda: read(path))
+        budget, path = ResourceBudget(self.service.loop, LIMITS), folder / "toolcalls.toml"
+        self.front = ToolCallsFront(self.service.loop, config, budget, 7, lambda: read(path))
         self.service.fronts.append(self.front)
         self.service.begin()
         self.parties["client"] = FakePeer(("127.0.0.1", self.front.port))
 
     def publish(self, *names: str) -> None:
+        """Write the records of these workers and tool servers; tool servers get falling priority."""
         kinds = {"reader": "prefill", "writer": "decode"}
         texts = {name: {"id": name, "kind": kinds[name], "zone": "hall-a", "cell": "1"} for name in kinds}
         workers = [ServiceInstance(n, self.parties[n].address, texts=texts[n]) for n in names if n in texts]
@@ -94,11 +97,11 @@
 
 
 def ran_once(t: ToolCalls) -> bool:
-    """One attempt at the writer, and no more than one final answer for the client's request."""
+    """Whether the writer got exactly one attempt, and the router has no request open."""
     return t.parties["writer"].heard.count("chat/completions") == 1 and not t.front.router.requests
 
 
-BEGIN = """
+STREAM_STARTED = """
     client send ask
     reader expect "method":"chat/completions"
     reader send read
@@ -106,8 +109,8 @@
     writer send event text=before
     client expect "event":"before"
 """
-CALLED = (
-    BEGIN
+TOOL_CALLED = (
+    STREAM_STARTED
     + """
     writer send call
     client expect "method":"notifications/tool_call"
@@ -116,9 +119,9 @@
 )
 
 
-def test_a_tool_call_is_relayed_in_the_running_stream_and_seen_in_order(t: ToolCalls) -> None:
+def test_a_tool_call_is_relayed_within_the_stream_in_order(t: ToolCalls) -> None:
     t.play(
-        CALLED
+        TOOL_CALLED
         + """
         tool send found
         client expect "method":"notifications/tool_result"
@@ -130,7 +133,7 @@
     """
     )
     assert not t.front.router.requests
-    # A second request uses the same connections: each exchange leaves them clean.
+    # A second request reuses the connections: nothing of the first exchange is left on them.
     t.play("client send ask id=2\nreader expect chat\nreader send read id=2\nwriter expect chat")
     t.play('writer send event text=x\nwriter send served id=2\nclient expect "id":2,"result"')
     assert [t.parties[n].connections for n in ("reader", "writer", "tool")] == [1, 1, 1]
@@ -139,15 +142,17 @@
 @pytest.mark.parametrize(
     ("trouble", "code"),
     [
-        ("wait 2.1", -32003),  # the tool hangs
+        ("wait 2.1", -32003),  # the tool does not answer
         ("tool send error id=1 code=-32603", -32005),
         ("tool reset", -32004),
         ("tool close", -32004),
     ],
 )
-def test_a_tool_that_fails_is_told_and_the_stream_can_go_on(t: ToolCalls, trouble: str, code: int) -> None:
+def test_a_failed_tool_call_is_reported_and_the_stream_continues(
+    t: ToolCalls, trouble: str, code: int
+) -> None:
     t.play(
-        CALLED
+        TOOL_CALLED
         + f"""
         {trouble}
         writer expect "id":7,"error":{{"code":{code}
@@ -162,36 +167,36 @@
 
 
 @pytest.mark.parametrize("code", [-32003, -32004, -32005])
-def test_a_worker_that_gives_up_over_a_tool_ends_in_one_answer_with_its_code(t: ToolCalls, code: int) -> None:
-    t.play(CALLED + f"tool reset\nwriter expect error\nwriter send error id=1 code={code}")
+def test_a_worker_that_fails_over_a_tool_gives_one_answer_with_its_code(t: ToolCalls, code: int) -> None:
+    t.play(TOOL_CALLED + f"tool reset\nwriter expect error\nwriter send error id=1 code={code}")
     t.play(f'client expect "id":1,"error":{{"code":{code}\nwait 1')
-    # The session logs service work: it must not run again, though its stream failed.
+    # The class service-log is unsafe: the request must not run again, though its stream failed.
     assert ran_once(t)
     assert '"id":1' not in t.parties["client"].text
 
 
-def test_an_unknown_tool_is_told_at_once(t: ToolCalls) -> None:
-    t.play(BEGIN + 'writer send call tool=magic\nwriter expect "id":7,"error":{"code":-32004')
+def test_an_unknown_tool_is_reported_at_once(t: ToolCalls) -> None:
+    t.play(STREAM_STARTED + 'writer send call tool=magic\nwriter expect "id":7,"error":{"code":-32004')
     assert t.parties["tool"].connections == 0
 
 
-def test_a_tool_server_that_cannot_be_reached_is_passed_over(t: ToolCalls) -> None:
+def test_an_unreachable_tool_server_is_skipped(t: ToolCalls) -> None:
     t.parties["tool2"] = FakePeer()
     t.publish("reader", "writer", "tool", "tool2")
-    t.play("tool close listening\nwait 0.6\n" + BEGIN + "writer send call\ntool2 expect tools/call")
+    t.play("tool close listening\nwait 0.6\n" + STREAM_STARTED + "writer send call\ntool2 expect tools/call")
     t.play("tool2 send found\nwriter expect replaced")
 
 
-def test_a_tool_call_that_may_have_run_is_not_made_again(t: ToolCalls) -> None:
+def test_a_tool_call_that_may_have_run_is_not_retried(t: ToolCalls) -> None:
     t.parties["tool2"] = FakePeer()
     t.publish("reader", "writer", "tool", "tool2")
-    t.play("wait 0.6\n" + CALLED + 'tool reset\nwriter expect "code":-32004')
+    t.play("wait 0.6\n" + TOOL_CALLED + 'tool reset\nwriter expect "code":-32004')
     assert t.parties["tool2"].connections == 0
 
 
-def test_a_late_reply_and_a_duplicate_are_ignored(t: ToolCalls) -> None:
+def test_late_and_duplicate_tool_responses_are_ignored(t: ToolCalls) -> None:
     t.play(
-        CALLED
+        TOOL_CALLED
         + """
         wait 2.1
         tool expect "method":"notifications/cancelled"
@@ -213,9 +218,9 @@
     assert "late" not in told and "twice" not in told
 
 
-def test_a_client_that_leaves_during_a_call_cancels_it_at_worker_and_tool(t: ToolCalls) -> None:
+def test_a_client_that_disconnects_cancels_its_call_at_worker_and_tool(t: ToolCalls) -> None:
     t.play(
-        CALLED
+        TOOL_CALLED
         + """
         client close
         tool expect "method":"notifications/cancelled","params":{"requestId":1
@@ -228,51 +233,51 @@
     assert not t.front.router.requests and t.parties["writer"].connections == 1
 
 
-def test_a_cancelled_request_gets_no_answer_and_the_connection_stays(t: ToolCalls) -> None:
-    t.play(CALLED + "client send cancel id=1\nwriter expect cancelled\ntool expect cancelled\nwait 0.1")
+def test_a_cancelled_request_gets_no_answer_and_the_connection_stays_open(t: ToolCalls) -> None:
+    t.play(TOOL_CALLED + "client send cancel id=1\nwriter expect cancelled\ntool expect cancelled\nwait 0.1")
     assert '"id":1' not in t.parties["client"].text
     t.play('client send method name=ping\nclient expect "id":5,"result":{}')
 
 
-def test_a_worker_that_withdraws_its_call_cancels_it_at_the_tool(t: ToolCalls) -> None:
-    t.play(CALLED + "writer send cancel id=7\ntool expect cancelled\nclient expect tool_result")
+def test_a_call_cancelled_by_its_worker_is_cancelled_at_the_tool(t: ToolCalls) -> None:
+    t.play(TOOL_CALLED + "writer send cancel id=7\ntool expect cancelled\nclient expect tool_result")
     t.play('writer send event text=x\nwriter send served\nclient expect "id":1,"result"')
 
 
 @pytest.mark.parametrize("how", ["reset", "close"])
 def test_a_worker_lost_during_a_call_ends_the_stream_once(t: ToolCalls, how: str) -> None:
-    t.play(CALLED + f'writer {how}\nclient expect "id":1,"error":{{"code":-32006')
+    t.play(TOOL_CALLED + f'writer {how}\nclient expect "id":1,"error":{{"code":-32006')
     t.play("tool expect cancelled\nwait 1")
     assert ran_once(t) and '"id":1' not in t.parties["client"].text
 
 
-def test_a_worker_silent_in_its_stream_is_given_up(t: ToolCalls) -> None:
-    t.play(BEGIN + 'wait 5.2\nclient expect "id":1,"error":{"code":-32006\nwriter expect cancelled')
+def test_the_stream_of_a_silent_worker_is_aborted(t: ToolCalls) -> None:
+    t.play(STREAM_STARTED + 'wait 5.2\nclient expect "id":1,"error":{"code":-32006\nwriter expect cancelled')
 
 
-def test_a_refused_request_is_told_when_to_come_again(t: ToolCalls) -> None:
+def test_a_refused_request_gets_retry_after(t: ToolCalls) -> None:
     t.play("reader close listening\nclient send ask")
     t.play('client expect "id":1,"error":{"code":-32001\nclient expect "retry_after":0.')
 
 
-def test_an_unsafe_request_whose_writer_failed_before_its_stream_is_failed(t: ToolCalls) -> None:
+def test_an_unsafe_request_fails_when_its_writer_is_lost_before_the_stream(t: ToolCalls) -> None:
     t.play("client send ask\nreader expect chat\nreader send read\nwriter expect chat\nwriter reset")
     t.play('client expect "id":1,"error":{"code":-32002\nwait 1')
     assert ran_once(t)
 
 
-def test_the_deadline_before_the_stream_holds_here_too(t: ToolCalls) -> None:
+def test_a_request_without_a_stream_ends_at_its_deadline(t: ToolCalls) -> None:
     t.play("client send ask left=800\nreader expect chat\nreader send read\nwriter expect chat\nwait 0.8")
     t.play('client expect "id":1,"error"\nwriter expect cancelled')
 
 
-def test_a_client_that_leaves_during_the_read_lets_go_of_the_state(t: ToolCalls) -> None:
+def test_a_client_that_leaves_during_the_read_releases_the_state(t: ToolCalls) -> None:
     t.play("client send ask\nreader expect chat\nclient close\nreader expect cancelled")
     t.play('writer expect "method":"reservations/release"\nwriter send ok')
-    t.until(lambda: not t.front.busy, "all let go")
+    t.until(lambda: not t.front.busy, "all state released")
 
 
-def test_a_reader_has_no_stream_to_call_tools_in(t: ToolCalls) -> None:
+def test_a_tool_call_of_a_reader_is_rejected(t: ToolCalls) -> None:
     t.play("client send ask\nreader expect chat\nreader send call")
     t.play('reader expect "id":7,"error":{"code":-32600')
     assert t.parties["tool"].connections == 0
@@ -291,25 +296,25 @@
         ("raw text=" + "x" * 600_000, -32600),
     ],
 )
-def test_malformed_messages_get_the_standards_errors(t: ToolCalls, saying: str, code: int) -> None:
+def test_malformed_messages_get_standard_json_rpc_errors(t: ToolCalls, saying: str, code: int) -> None:
     t.play(f'client send {saying}\nclient expect "error":{{"code":{code}')
     t.play("client2 send method name=ping\nclient2 expect result")
 
 
-def test_an_id_in_use_does_not_end_the_request_that_has_it(t: ToolCalls) -> None:
-    t.play(BEGIN + 'client send ask\nclient expect "id":null,"error":{"code":-32600')
+def test_reusing_an_open_id_does_not_end_the_open_request(t: ToolCalls) -> None:
+    t.play(STREAM_STARTED + 'client send ask\nclient expect "id":null,"error":{"code":-32600')
     t.play('writer send event text=x\nwriter send served\nclient expect "id":1,"result"')
 
 
-def test_draining_finishes_what_is_open(t: ToolCalls) -> None:
-    t.play(CALLED)
+def test_open_requests_finish_during_a_drain(t: ToolCalls) -> None:
+    t.play(TOOL_CALLED)
     t.sigterm()
     t.play("wait 0.6\ntool send found\nwriter expect replaced\nwriter send event text=x\nwriter send served")
     t.play('client expect "id":1,"result"\nclient expect closed')
     t.until(lambda: t.service.loop.stopped, "the end")
 
 
-def test_a_reload_moves_to_other_records(t: ToolCalls) -> None:
+def test_a_reload_switches_to_other_records(t: ToolCalls) -> None:
     t.records = t.records.with_name("other.zone")
     t.publish("writer", "tool")
     file = t.records.with_name("toolcalls.toml")
@@ -321,18 +326,18 @@
     assert any("reload refused" in line for line in t.log.lines)
 
 
-def test_a_worker_taken_from_the_records_gets_nothing_new(t: ToolCalls) -> None:
+def test_a_worker_removed_from_the_records_gets_no_new_requests(t: ToolCalls) -> None:
     t.publish("writer", "tool")
     t.play('wait 0.6\nclient send ask\nclient expect "code":-32001')
 
 
-def test_a_message_that_does_not_end_is_cut_off(t: ToolCalls) -> None:
-    # Nothing bounded the time of a half message, and each held a connection for good.
+def test_an_incomplete_message_times_out(t: ToolCalls) -> None:
+    # Without a time limit, a client that sends part of a message would hold its connection forever.
     t.parties["client"].send(b'{"jsonrpc":')
     t.play('wait 2.3\nclient expect "error":{"code":-32600\nclient expect closed')
 
 
-def test_a_peer_that_reads_nothing_is_given_up(t: ToolCalls) -> None:
+def test_the_connection_of_a_peer_that_does_not_read_is_closed(t: ToolCalls) -> None:
     client = t.parties["client"]
     client.poll = lambda: None  # type: ignore[method-assign]
     client.send(SAYINGS["method"](name="x" * 100_000))
--- a/yewhook/dnssd.py
+++ b/yewhook/dnssd.py
@@ -1,4 +1,4 @@
-"""Services found and published as DNS-SD records (RFC 6763) in a DNS master file (RFC 1035)."""
+"""Reads and writes DNS-SD records (RFC 6763) in DNS master files (RFC 1035)."""
 
 from __future__ import annotations
 
@@ -22,44 +22,50 @@
 
 
 class RecordsError(Exception):
-    """What is wrong with a file of records, for the person who wrote it."""
+    """A file of records cannot be read or parsed; the message is for its author."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceInstance:
-    """One instance of a service: its PTR, SRV and TXT records, and the address that its target has."""
+    """One instance of a service, with the contents of its SRV and TXT records and its address."""
 
-    name: str  # the instance's label, as people read it
+    name: str  # label of the instance, unescaped
     address: Address
-    priority: int = 0
-    weight: int = 0
-    texts: dict[str, str] = field(default_factory=dict)
+    priority: int = 0  # lower values are tried first
+    weight: int = 0  # share of the choice within a priority
+    texts: dict[str, str] = field(default_factory=dict)  # TXT record; keys in lower case
 
 
 class Records:
-    """The records of one domain, read anew when the file has changed."""
+    """The records of one domain, read from a master file.
+
+    The constructor and `refresh` raise RecordsError.
+    """
 
     def __init__(self, path: Path, domain: str) -> None:
         self.path, self.domain = path, domain
-        self._stamp: tuple[int, int] | None = None
+        self._file_version: tuple[int, int] | None = None
         self._zone = self._read()
 
     def refresh(self) -> bool:
-        """Whether the file had changed; a bad one raises RecordsError, and the old records stay."""
-        if self._stamp == self._stamp_now():
+        """Read the file again if it has changed; returns whether it had.
+
+        An invalid file raises RecordsError, and the old records stay.
+        """
+        if self._file_version == self._current_file_version():
             return False
         self._zone = self._read()
         return True
 
-    def _stamp_now(self) -> tuple[int, int] | None:
+    def _current_file_version(self) -> tuple[int, int] | None:
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size
+        return status.st_mtime_ns, status.st_size
 
     def _read(self) -> dns.zone.Zone:
-        self._stamp = self._stamp_now()
+        self._file_version = self._current_file_version()
         try:
             text = self.path.read_text()
             return dns.zone.from_text(text, origin=self.domain, relativize=False, check_origin=False)
@@ -67,15 +73,15 @@
             raise RecordsError(f"{self.path}: {error}") from error
 
     def browse(self, service: str) -> list[ServiceInstance]:
-        """The instances that the PTR records of a service name, in order of their names."""
+        """The instances listed by the PTR records of a service, ordered by name."""
         owner = dns.name.from_text(f"{service}.{self.domain}")
-        found = []
-        for pointer in self._all(owner, dns.rdatatype.PTR):
+        instances = []
+        for pointer in self._rdataset(owner, dns.rdatatype.PTR):
             assert isinstance(pointer, PTR)
-            found += self._resolve(pointer.target)
-        return sorted(found, key=lambda instance: (instance.name, instance.address))
+            instances += self._resolve(pointer.target)
+        return sorted(instances, key=lambda instance: (instance.name, instance.address))
 
-    def _all(self, owner: dns.name.Name, kind: dns.rdatatype.RdataType) -> Iterable[object]:
+    def _rdataset(self, owner: dns.name.Name, kind: dns.rdatatype.RdataType) -> Iterable[object]:
         try:
             return self._zone.get_rdataset(owner, kind) or ()
         except KeyError:
@@ -83,52 +89,57 @@
 
     def _resolve(self, owner: dns.name.Name) -> list[ServiceInstance]:
         texts: dict[str, str] = {}
-        for text in self._all(owner, dns.rdatatype.TXT):
+        for text in self._rdataset(owner, dns.rdatatype.TXT):
             assert isinstance(text, TXT)
             for raw in text.strings:
                 key, _, value = raw.decode("utf-8", "replace").partition("=")
-                if key:  # of a repeated key the first counts, and one without a name is none (6.4)
+                if (
+                    key
+                ):  # RFC 6763, 6.4: entries without a key are ignored, and the first of equal keys counts
                     texts.setdefault(key.lower(), value)
         name = owner.labels[0].decode("utf-8", "replace")
-        found = []
-        for service in self._all(owner, dns.rdatatype.SRV):
+        instances = []
+        for service in self._rdataset(owner, dns.rdatatype.SRV):
             assert isinstance(service, SRV)
-            for host in self._all(service.target, dns.rdatatype.A):
+            for host in self._rdataset(service.target, dns.rdatatype.A):
                 assert isinstance(host, A)
-                place = (host.address, service.port)
-                found.append(ServiceInstance(name, place, service.priority, service.weight, texts))
-        return found
+                address = (host.address, service.port)
+                instances.append(ServiceInstance(name, address, service.priority, service.weight, texts))
+        return instances
 
 
 def order_instances(instances: Iterable[ServiceInstance], rng: random.Random) -> list[ServiceInstance]:
-    """The order in which to try instances: by priority, by chance in proportion to weight (RFC 2782)."""
-    left, order = sorted(instances, key=lambda s: (s.priority, s.weight != 0)), []
-    while left:
-        first = [s for s in left if s.priority == left[0].priority]
-        draw = rng.uniform(0, sum(s.weight for s in first))
-        for chosen in first:
+    """The order in which to try instances: by priority, then at random in proportion to weight (RFC 2782)."""
+    remaining, ordered = sorted(instances, key=lambda s: (s.priority, s.weight != 0)), []
+    while remaining:
+        candidates = [s for s in remaining if s.priority == remaining[0].priority]
+        draw = rng.uniform(0, sum(s.weight for s in candidates))
+        for chosen in candidates:
             draw -= chosen.weight
             if draw <= 0:
                 break
-        left.remove(chosen)
-        order.append(chosen)
-    return order
+        remaining.remove(chosen)
+        ordered.append(chosen)
+    return ordered
 
 
-def _quoted(text: str) -> str:
+def _quote(text: str) -> str:
     raw = "".join(chr(b) if 32 <= b < 127 and chr(b) not in '"\\' else f"\\{b:03d}" for b in text.encode())
     return f'"{raw}"'
 
 
 def master_file(domain: str, service: str, instances: Iterable[ServiceInstance], ttl: int = 10) -> str:
-    """The records that publish a service's instances. RFC 6763 asks for a TXT record even if it is empty."""
+    """A master file that publishes the instances of a service; `ttl` in seconds.
+
+    RFC 6763 requires a TXT record even if it is empty.
+    """
     domain = domain.rstrip(".") + "."
     lines = [f"$ORIGIN {domain}", f"$TTL {ttl}", f"_services._dns-sd._udp IN PTR {service}.{domain}"]
     stem = service.partition(".")[0].strip("_")
     for number, instance in enumerate(instances):
         label = dns.name.Name([instance.name.encode()]).to_text()
         owner, host = f"{label}.{service}.{domain}", f"{stem}-{number}.{domain}"
-        texts = " ".join(_quoted(f"{key}={value}") for key, value in instance.texts.items()) or '""'
+        texts = " ".join(_quote(f"{key}={value}") for key, value in instance.texts.items()) or '""'
         lines += [
             f"{service}.{domain} IN PTR {owner}",
             f"{owner} IN SRV {instance.priority} {instance.weight} {instance.address[1]} {host}",
--- a/yewhook/jsonrpc.py
+++ b/yewhook/jsonrpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0, one message a line over TCP, both ways on one connection."""
+"""JSON-RPC 2.0 over TCP, one message per line. Either end of a connection may send requests."""
 
 from __future__ import annotations
 
@@ -15,50 +15,57 @@
 from .deadlines import Deadline
 from .loop import Loop, Timer
 
-LINE_LIMIT = 512 * 1024  # bytes of one message
-OPEN_LIMIT = 64  # requests of the peer's that may be open on one connection
-UNSENT_LIMIT = 4 * 1024 * 1024  # bytes that a peer may leave unread
-UNFINISHED = 2.2  # s in which a message that has begun must go on to its end
+MAX_MESSAGE_BYTES = 512 * 1024
+MAX_OPEN_REQUESTS = 64  # requests of the peer that may await their response on one connection
+MAX_UNSENT_BYTES = 4 * 1024 * 1024  # beyond this the connection is closed
+PARTIAL_TIMEOUT_S = 2.2  # time for a message to arrive completely, from its first byte
 
 
 class Code(IntEnum):
-    """Every error code that goes over this wire: the standard's, then this project's own."""
+    """The JSON-RPC error codes in use: those of the standard, then those of this project."""
 
     PARSE_ERROR = -32700
     INVALID_REQUEST = -32600
     METHOD_NOT_FOUND = -32601
     INVALID_PARAMS = -32602
     INTERNAL_ERROR = -32603
-    REFUSED = -32001  # not served, and trying again is harmless; data.retry_after tells when
-    FAILED = -32002  # not served, nothing promised
+    REFUSED = -32001  # not served, safe to retry; data.retry_after (seconds) says when
+    FAILED = -32002  # not served; a retry may run the request twice
     TOOL_TIMED_OUT = -32003  # the tool server did not answer in time
-    TOOL_GONE = -32004  # no tool server for this tool, or it went away during the call
+    TOOL_GONE = -32004  # no server offers this tool, or its connection was lost during the call
     TOOL_ERROR = -32005  # the tool server answered with an error
-    BROKEN_OFF = -32006  # the stream ended before it was whole; it may be asked for again
-    TURNED_AWAY = -32010  # a worker did not begin: full, draining or over
-    STATE_GONE = -32011  # a writer had no read state to fetch
+    STREAM_ABORTED = -32006  # the stream ended early; the request may be repeated
+    TURNED_AWAY = -32010  # a worker did not start the request: full, draining or stopping
+    STATE_GONE = -32011  # a writer found no held state to fetch
 
 
 class RpcError(Exception):
+    """An error response; `code` is usually a `Code`, but a peer may send any integer."""
+
     def __init__(self, code: int, message: str, data: dict[str, Any] | None = None) -> None:
         super().__init__(message)
         self.code, self.message, self.data = code, message, data
 
     def as_object(self) -> dict[str, Any]:
+        """The error member of a JSON-RPC response."""
         data = {"data": self.data} if self.data else {}
         return {"code": int(self.code), "message": self.message} | data
 
 
 class ConnectionLost(RpcError):
-    """The connection ended with the request unanswered; `sent` = its last byte had been written."""
+    """The connection ended before the response arrived.
+
+    `sent`: the last byte of the request had been written. `connected`: the connection had been established.
+    `closed_cleanly`: it ended without a socket error.
+    """
 
-    def __init__(self, sent: bool, connected: bool, clean: bool) -> None:
+    def __init__(self, sent: bool, connected: bool, closed_cleanly: bool) -> None:
         super().__init__(Code.INTERNAL_ERROR, "the connection ended")
-        self.sent, self.connected, self.closed_cleanly = sent, connected, clean
+        self.sent, self.connected, self.closed_cleanly = sent, connected, closed_cleanly
 
 
 class RequestTimedOut(RpcError):
-    """The request's deadline passed."""
+    """No response arrived before the request's deadline."""
 
     def __init__(self) -> None:
         super().__init__(Code.INTERNAL_ERROR, "no reply in time")
@@ -69,197 +76,221 @@
 
 
 class PeerHandler(Protocol):
-    """What a peer's own messages are handed to."""
+    """Receives the requests, notifications and state changes of a peer."""
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
-        """Answer by `peer.result` or `peer.error`, now or later; RpcError raised is the answer."""
+        """Respond by `peer.result` or `peer.error`, now or later; a raised RpcError is the response."""
 
-    def notification(self, peer: Peer, method: str, params: dict[str, Any]) -> None: ...
+    def notification(self, peer: Peer, method: str, params: dict[str, Any]) -> None:
+        """Handle a message that expects no response."""
 
-    def gone(self, peer: Peer) -> None: ...
+    def gone(self, peer: Peer) -> None:
+        """The connection has ended."""
 
     def slow(self, peer: Peer, slow: bool) -> None:
-        """The peer takes its messages too slowly, or has caught up."""
+        """The send buffer exceeds SLOW_PEER_BYTES (`slow` true), or has been flushed (false)."""
 
 
-SLOW = 65536  # bytes not yet taken
+SLOW_PEER_BYTES = 65536  # unsent bytes beyond which a peer is reported as slow
 
 
 @dataclass(slots=True)
-class _Asked:
+class _PendingRequest:
     reply: Reply
     timer: Deadline | None
 
 
 def encode_message(message: dict[str, Any]) -> bytes:
+    """A JSON-RPC message as one line of JSON."""
     return json.dumps({"jsonrpc": "2.0"} | message, separators=(",", ":")).encode() + b"\n"
 
 
 class Peer:
-    """One end of a connection: asks, is asked, and keeps the two apart."""
+    """One end of a connection. Sends requests to the other end and dispatches those that it receives.
+
+    The ids of the two directions are independent of each other.
+    """
 
     def __init__(self, loop: Loop, handler: PeerHandler) -> None:
         self.loop, self.handler = loop, handler
         self.channel: Channel
-        self.is_connected, self._up_within = False, 0.0  # s that a connection of ours may take
+        self.is_connected, self._connect_timeout = False, 0.0  # seconds; outgoing connections only
         self.address: Address = ("", 0)
         self.idle_since = 0.0
-        self.open_requests: set[Id] = set()  # the peer's requests that wait for their answer
-        self._asked: dict[Id, _Asked] = {}
+        self.open_requests: set[Id] = set()  # ids of the peer's requests that await a response
+        self._pending: dict[Id, _PendingRequest] = {}
         self._ids = itertools.count(1)
-        self._rest = b""
+        self._buffer = b""
         self._slow = False
-        self._timer = Timer(loop)  # for the connection to come up, or for a begun message to end
+        self._timer = Timer(loop)  # limits the connection setup, then the arrival of a partial message
 
     @classmethod
     def connect(cls, loop: Loop, address: Address, handler: PeerHandler, timeout: float) -> Peer:
-        """Begin to connect. Raises OSError."""
+        """Start connecting; `timeout` in seconds. Raises OSError."""
         peer = cls(loop, handler)
         peer.address = address
         peer.channel = Channel.connect(loop, address, peer)
-        peer._up_within = timeout
-        peer._timer.set(timeout, peer._drop)
+        peer._connect_timeout = timeout
+        peer._timer.set(timeout, peer._abort)
         return peer
 
     @classmethod
     def accepted(cls, loop: Loop, sock: socket.socket, handler: PeerHandler) -> Peer:
-        """One end of a connection that the other side has opened."""
+        """A peer on an accepted connection."""
         peer = cls(loop, handler)
         peer.is_connected, peer.idle_since = True, loop.now
         peer.channel = Channel(loop, sock, peer)
         return peer
 
-    def limit_connect_time(self, within: float) -> None:
-        """Give up a connection that is not up in so many s, though it may take longer otherwise."""
-        if not self.is_connected and within < self._up_within:
-            self._timer.set(within, self._drop)
+    def limit_connect_time(self, timeout: float) -> None:
+        """Shorten the time for the connection to be established to `timeout` seconds from now."""
+        if not self.is_connected and timeout < self._connect_timeout:
+            self._timer.set(timeout, self._abort)
 
-    def _drop(self) -> None:
-        """Close now, and say so to all who wait."""
+    def _abort(self) -> None:
+        """Close at once; all pending requests fail with ConnectionLost."""
         self.channel.abort()
-        self._end(True)
+        self._connection_ended(True)
 
     @property
     def idle(self) -> bool:
-        """Whether the peer has nothing open, and nothing on its way."""
-        return not self.open_requests and not self._rest
+        """Whether the peer has no open request and no partial message has arrived."""
+        return not self.open_requests and not self._buffer
 
     @property
     def unread(self) -> bool:
+        """Whether received data waits in the socket."""
         return self.channel.unread
 
     @property
     def written(self) -> bool:
+        """Whether the connection is established and everything sent so far has been written to it."""
         return self.is_connected and self.channel.written
 
-    # ---- asking ----
+    # ---- outgoing requests ----
 
     def ask(self, method: str, params: dict[str, Any], reply: Reply, timeout: float | None = None) -> Id:
-        number = next(self._ids)
+        """Send a request and return its id.
+
+        `reply` is called once, with the result or the error, unless the request is cancelled or the peer is
+        closed first. `timeout` in seconds; None = no limit.
+        """
+        request_id = next(self._ids)
         timer = None
         if timeout is not None:
-            timer = self.loop.deadlines.set(self.loop.now + timeout, lambda: self._late(number))
-        self._asked[number] = _Asked(reply, timer)
-        self._send({"id": number, "method": method, "params": params})
-        return number
+            timer = self.loop.deadlines.set(
+                self.loop.now + timeout, lambda: self._request_timed_out(request_id)
+            )
+        self._pending[request_id] = _PendingRequest(reply, timer)
+        self._send({"id": request_id, "method": method, "params": params})
+        return request_id
 
     def notify(self, method: str, params: dict[str, Any]) -> None:
+        """Send a message that expects no response."""
         self._send({"method": method, "params": params})
 
     def cancel(self, request_id: Id, reason: str) -> None:
-        """Give up a request, in the Model Context Protocol's way; a reply that still comes is ignored."""
-        if (asked := self._asked.pop(request_id, None)) is not None:
-            self.loop.deadlines.cancel(asked.timer)
+        """Cancel a request as the Model Context Protocol does; a late response is ignored."""
+        if (pending := self._pending.pop(request_id, None)) is not None:
+            self.loop.deadlines.cancel(pending.timer)
             self.notify("notifications/cancelled", {"requestId": request_id, "reason": reason})
 
-    def _late(self, request_id: Id) -> None:
-        if (asked := self._asked.get(request_id)) is not None:
+    def _request_timed_out(self, request_id: Id) -> None:
+        if (pending := self._pending.get(request_id)) is not None:
             self.cancel(request_id, "timed out")
-            asked.reply(None, RequestTimedOut())
+            pending.reply(None, RequestTimedOut())
 
-    # ---- answering ----
+    # ---- responses to incoming requests ----
 
     def result(self, request_id: Id, result: Any) -> None:
+        """Respond to a request with its result."""
         self.open_requests.discard(request_id)
         self.idle_since = self.loop.now
         self._send({"id": request_id, "result": result})
 
     def error(self, request_id: Id | None, error: RpcError) -> None:
+        """Respond with an error; the id is None where the id of the request is unknown."""
         if request_id is not None:
             self.open_requests.discard(request_id)
         self._send({"id": request_id, "error": error.as_object()})
 
     def _send(self, message: dict[str, Any]) -> None:
         self.channel.send(encode_message(message))
-        if self.channel.unsent > UNSENT_LIMIT:
-            return self._drop()
-        if self.channel.unsent > SLOW and not self._slow:
+        if self.channel.unsent > MAX_UNSENT_BYTES:
+            return self._abort()
+        if self.channel.unsent > SLOW_PEER_BYTES and not self._slow:
             self._slow = True
             self.handler.slow(self, True)
 
-    # ---- the channel ----
+    # ---- channel events ----
 
     def connected(self) -> None:
+        """The connection is established."""
         self.is_connected = True
         self._timer.cancel()
 
     def drained(self) -> None:
+        """The send buffer has been flushed."""
         if self._slow:
             self._slow = False
             self.handler.slow(self, False)
 
     def received(self, data: bytes) -> None:
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        """Handle the complete lines and keep the rest for the next read."""
+        *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
             if line.strip() and not self.channel.closed:
-                self._line(line)
-        if len(self._rest) > LINE_LIMIT:
-            return self._cut_off("the message is too long")
-        if not self._rest or self.channel.closed:
+                self._handle_message(line)
+        if len(self._buffer) > MAX_MESSAGE_BYTES:
+            return self._reject_and_close("the message is too long")
+        if not self._buffer or self.channel.closed:
             return self._timer.cancel()
         if lines or not self._timer.running:
-            return self._timer.set(UNFINISHED, lambda: self._cut_off("the message took too long to arrive"))
+            return self._timer.set(
+                PARTIAL_TIMEOUT_S, lambda: self._reject_and_close("the message took too long to arrive")
+            )
         return None
 
-    def _cut_off(self, why: str) -> None:
-        self.error(None, RpcError(Code.INVALID_REQUEST, why))
+    def _reject_and_close(self, reason: str) -> None:
+        self.error(None, RpcError(Code.INVALID_REQUEST, reason))
         self.close_gracefully()
 
     def close_gracefully(self) -> None:
-        """Write what is left and close; the handler hears that the peer is gone."""
+        """Flush the send buffer and close; the handler is told that the peer is gone."""
         if not self.channel.closed:
             self.channel.finish()
-            self._end(True)
+            self._connection_ended(True)
 
     def close(self) -> None:
-        """Close now, whatever is open; the handler hears nothing more."""
-        self._asked.clear()
+        """Close at once and drop pending requests; neither their callbacks nor the handler are called."""
+        self._pending.clear()
         self._timer.cancel()
         self.channel.abort()
 
     def lost(self, error: OSError | None) -> None:
-        self._end(error is None)
+        """The channel has failed, or the other end has closed it (`error` is None)."""
+        self._connection_ended(error is None)
 
-    def _end(self, clean: bool) -> None:
+    def _connection_ended(self, closed_cleanly: bool) -> None:
         self._timer.cancel()
-        asked, self._asked = self._asked, {}
-        for one in asked.values():
-            self.loop.deadlines.cancel(one.timer)
-            one.reply(None, ConnectionLost(self.written, self.is_connected, clean))
+        pending, self._pending = self._pending, {}
+        for request in pending.values():
+            self.loop.deadlines.cancel(request.timer)
+            request.reply(None, ConnectionLost(self.written, self.is_connected, closed_cleanly))
         self.handler.gone(self)
 
-    def _line(self, line: bytes) -> None:
+    def _handle_message(self, line: bytes) -> None:
         try:
-            message = json.loads(line) if len(line) <= LINE_LIMIT else None
+            message = json.loads(line) if len(line) <= MAX_MESSAGE_BYTES else None
         except (ValueError, RecursionError):
             return self.error(None, RpcError(Code.PARSE_ERROR, "not JSON"))
         if not isinstance(message, dict) or message.get("jsonrpc") != "2.0":
             return self.error(None, RpcError(Code.INVALID_REQUEST, "expected one JSON-RPC 2.0 object"))
         if "method" in message:
-            return self._asked_for(message)
-        return self._answered(message)
+            return self._handle_call(message)
+        return self._handle_response(message)
 
-    def _asked_for(self, message: dict[str, Any]) -> None:
+    def _handle_call(self, message: dict[str, Any]) -> None:
         request_id, method, params = message.get("id"), message["method"], message.get("params", {})
         if not isinstance(method, str) or isinstance(request_id, bool):
             return self.error(None, RpcError(Code.INVALID_REQUEST, "method must be text"))
@@ -270,12 +301,12 @@
         if not isinstance(request_id, str | int):
             return self.error(None, RpcError(Code.INVALID_REQUEST, "id must be text or a whole number"))
         if request_id in self.open_requests:
-            # Answering under this id would end the request that is open under it.
+            # A response with this id would be taken as that of the request which is already open.
             return self.error(None, RpcError(Code.INVALID_REQUEST, f"id {request_id!r} is in use"))
         try:
             if not isinstance(params, dict):
                 raise RpcError(Code.INVALID_PARAMS, "params must be an object")
-            if len(self.open_requests) >= OPEN_LIMIT:
+            if len(self.open_requests) >= MAX_OPEN_REQUESTS:
                 raise RpcError(Code.REFUSED, "too many requests open on this connection")
             self.open_requests.add(request_id)
             self.handler.request(self, request_id, method, params)
@@ -283,16 +314,16 @@
             self.error(request_id, error)
         return None
 
-    def _answered(self, message: dict[str, Any]) -> None:
-        number = message.get("id")
-        asked = self._asked.pop(number, None) if isinstance(number, str | int) else None
-        if asked is None:
-            return self.loop.log("reply nobody waits for", f"id {number!r}, late or a duplicate")
-        self.loop.deadlines.cancel(asked.timer)
+    def _handle_response(self, message: dict[str, Any]) -> None:
+        request_id = message.get("id")
+        pending = self._pending.pop(request_id, None) if isinstance(request_id, str | int) else None
+        if pending is None:
+            return self.loop.log("reply nobody waits for", f"id {request_id!r}, late or a duplicate")
+        self.loop.deadlines.cancel(pending.timer)
         error = message.get("error")
         if error is None and "result" in message:
-            return asked.reply(message["result"], None)
+            return pending.reply(message["result"], None)
         if not isinstance(error, dict) or not isinstance(error.get("code"), int):
             error = {"code": Code.INTERNAL_ERROR, "message": "neither a result nor an error"}
         data = error.get("data") if isinstance(error.get("data"), dict) else None
-        return asked.reply(None, RpcError(error["code"], str(error.get("message", "")), data))
+        return pending.reply(None, RpcError(error["code"], str(error.get("message", "")), data))
--- a/yewhook/toolcalls/__init__.py
+++ b/yewhook/toolcalls/__init__.py
@@ -1,1 +1,1 @@
-"""The front for JSON-RPC tool calls: clients, workers and tool servers, one message a line over TCP."""
+"""The tool-calls front: JSON-RPC over TCP with clients, workers and tool servers."""
--- a/yewhook/toolcalls/clients.py
+++ b/yewhook/toolcalls/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: requests by JSON-RPC, several at once on a connection, each with its one answer."""
+"""Client connections: JSON-RPC requests, several at a time per connection, each answered once."""
 
 from __future__ import annotations
 
@@ -16,167 +16,191 @@
 from ..jsonrpc import Code, Id, Peer, RpcError
 from ..loop import Loop
 from ..slow_reader import SlowReader
-from .endings import TO_CLIENT
-from .workers import Shown
+from .endings import CODE_BY_ENDING
+from .workers import StreamNotification
 
-IDLE_MOST = 60.0  # s for which a connection is kept on which nothing is asked
+IDLE_TIMEOUT_S = 60.0  # a connection without an open request is closed after this
 
 
-def _number(params: dict[str, Any], name: str, least: float = 0.0) -> float:
+def _parse_number(params: dict[str, Any], name: str, minimum: float = 0.0) -> float:
     value = params.get(name, 0)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 1e12:
-        raise RpcError(Code.INVALID_PARAMS, f"{name} must be a number, {least:g} or more")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < 1e12:
+        raise RpcError(Code.INVALID_PARAMS, f"{name} must be a number, {minimum:g} or more")
     return float(value)
 
 
-def _text(params: dict[str, Any], name: str, default: str | None = None) -> str:
+def _parse_text(params: dict[str, Any], name: str, default: str | None = None) -> str:
     value = params.get(name, default)
     if not isinstance(value, str) or not value:
         raise RpcError(Code.INVALID_PARAMS, f"{name} must be a text")
     return value
 
 
-def _place(names: tuple[str, ...], params: dict[str, Any], name: str) -> int:
-    value = _text(params, name)
+def _parse_name(names: tuple[str, ...], params: dict[str, Any], name: str) -> int:
+    value = _parse_text(params, name)
     if value not in names:
         raise RpcError(Code.INVALID_PARAMS, f"{name}: unknown name {value!r}")
     return names.index(value)
 
 
-def understand(params: dict[str, Any], names: Names, request_id: str, waited: float) -> RequestArrived:
-    """The module's view of a request that has waited so many s, at the longest, to be read."""
+def parse_request(params: dict[str, Any], names: Names, request_id: str, waited_s: float) -> RequestArrived:
+    """Parse the parameters of `chat/completions`. Raises RpcError (INVALID_PARAMS).
+
+    `waited_s` is an upper bound of the time that the request has waited to be read; the client's patience is
+    reduced by it.
+    """
     return RequestArrived(
         id=request_id,
-        cls=_place(names.classes, params, "class"),
-        tenant=_place(names.tenants, params, "tenant") if names.tenants else 0,
-        session=_text(params, "session", request_id),
-        patience=max(0.0, _number(params, "patienceMs", 1.0) / 1000.0 - waited),
-        prompt_tokens=_number(params, "promptTokens"),
-        prefix=_text(params, "prefix") if params.get("prefix") else None,
-        prefix_tokens=_number(params, "prefixTokens"),
-        max_tokens=_number(params, "maxTokens"),
+        cls=_parse_name(names.classes, params, "class"),
+        tenant=_parse_name(names.tenants, params, "tenant") if names.tenants else 0,
+        session=_parse_text(params, "session", request_id),
+        patience=max(0.0, _parse_number(params, "patienceMs", 1.0) / 1000.0 - waited_s),
+        prompt_tokens=_parse_number(params, "promptTokens"),
+        prefix=_parse_text(params, "prefix") if params.get("prefix") else None,
+        prefix_tokens=_parse_number(params, "prefixTokens"),
+        max_tokens=_parse_number(params, "maxTokens"),
         resumed=params.get("resumed") is True,
         repeat=params.get("repeat") is True,
     )
 
 
-class Exchange:
-    """One client's request: the core's `Client`."""
+class ClientRequest:
+    """One open request of a client; implements `Client` of core/ports.py."""
 
-    def __init__(self, connection: ClientConnection, asked: Id, request_id: str) -> None:
-        self.connection, self.asked, self.id = connection, asked, request_id
+    def __init__(self, connection: ClientConnection, rpc_id: Id, request_id: str) -> None:
+        """`rpc_id` identifies the request on its connection, `request_id` in this router."""
+        self.connection, self.rpc_id, self.id = connection, rpc_id, request_id
 
     @property
     def disconnected(self) -> bool:
+        """Whether the client is known to have closed its connection."""
         return self.connection.peer.channel.ended
 
     def send_event(self, event: object) -> None:
-        assert isinstance(event, Shown)
-        self.connection.peer.notify(event.method, {"requestId": self.asked} | event.params)
+        """Forward a `StreamNotification` to the client."""
+        assert isinstance(event, StreamNotification)
+        self.connection.peer.notify(event.method, {"requestId": self.rpc_id} | event.params)
 
     def finish(self) -> None:
-        self.connection.done(self)
-        self.connection.peer.result(self.asked, {"status": "served"})
+        """Respond with success after a complete stream."""
+        self.connection.remove_request(self)
+        self.connection.peer.result(self.rpc_id, {"status": "served"})
 
     def abort_stream(self, ending: Ending) -> None:
-        self._error(TO_CLIENT.get(ending, Code.BROKEN_OFF), f"the stream ended: {ending.name.lower()}")
+        """Respond with an error after an incomplete stream."""
+        self._error(
+            CODE_BY_ENDING.get(ending, Code.STREAM_ABORTED), f"the stream ended: {ending.name.lower()}"
+        )
 
     def refuse(self, retry_after: float) -> None:
+        """Respond that the request may be retried, after `retry_after` seconds if above 0."""
         data = {"retry_after": round(retry_after, 3)} if retry_after > 0 else None
         self._error(Code.REFUSED, "not served; trying again is harmless", data)
 
     def fail(self, ending: Ending | None) -> None:
-        code = TO_CLIENT.get(ending, Code.FAILED) if ending else Code.FAILED
+        """Respond that the request failed before its stream began."""
+        code = CODE_BY_ENDING.get(ending, Code.FAILED) if ending else Code.FAILED
         self._error(code, f"failed: {ending.name.lower() if ending else 'not served'}")
 
     def _error(self, code: Code, message: str, data: dict[str, Any] | None = None) -> None:
-        self.connection.done(self)
-        self.connection.peer.error(self.asked, RpcError(code, message, data))
+        self.connection.remove_request(self)
+        self.connection.peer.error(self.rpc_id, RpcError(code, message, data))
 
 
 class ClientConnection:
-    """Hears one client."""
+    """One client's connection and its open requests."""
 
     def __init__(self, front: ClientFront, sock: socket.socket) -> None:
         self.front = front
-        self.exchanges: dict[Id, Exchange] = {}
+        self.requests: dict[Id, ClientRequest] = {}
         self._unread_since = ArrivalTime(front.loop, front.waiting_since())
         self.peer = Peer.accepted(front.loop, sock, self)
         self.slow_reader = SlowReader(front.loop, lambda: self.peer.channel.unsent, self._stalled)
 
     @property
     def idle(self) -> bool:
-        return not self.exchanges and self.peer.idle
+        """Whether no request is open and no part of one has arrived."""
+        return not self.requests and self.peer.idle
 
     @property
     def idle_since(self) -> float:
+        """When the last request ended, or the connection was accepted (loop clock)."""
         return self.peer.idle_since
 
     @property
     def unread(self) -> bool:
+        """Whether received data waits in the socket."""
         return self.peer.unread
 
     def close_gracefully(self) -> None:
+        """Flush the send buffer and close."""
         self.peer.close_gracefully()
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
+        """Handle `ping` and `chat/completions`. Raises RpcError."""
         if method == "ping":
             return peer.result(request_id, {})
         if method != "chat/completions":
             raise RpcError(Code.METHOD_NOT_FOUND, f"unknown method {method!r}")
         if self.front.ending:
             raise RpcError(Code.REFUSED, "ending; trying again is harmless")
-        waited = self.front.loop.now - self._unread_since.earliest
-        arrived = understand(params, self.front.names, secrets.token_hex(8), waited)
-        exchange = self.exchanges[request_id] = Exchange(self, request_id, arrived.id)
-        self.front.router.accept(arrived, exchange, params)
+        waited_s = self.front.loop.now - self._unread_since.earliest
+        arrived = parse_request(params, self.front.names, secrets.token_hex(8), waited_s)
+        request = self.requests[request_id] = ClientRequest(self, request_id, arrived.id)
+        self.front.router.accept(arrived, request, params)
         return None
 
     def notification(self, peer: Peer, method: str, params: dict[str, Any]) -> None:
-        """A cancelled request gets no answer, as in the Model Context Protocol."""
-        asked = params.get("requestId")
-        if method == "notifications/cancelled" and isinstance(asked, str | int):
-            exchange = self.exchanges.get(asked)
-            if exchange is not None:
-                self.done(exchange)
-                peer.open_requests.discard(asked)
-                self.front.router.client_left(exchange.id)
-
-    def done(self, exchange: Exchange) -> None:
-        self.exchanges.pop(exchange.asked, None)
+        """Handle a cancellation: as in the Model Context Protocol, the request gets no response."""
+        rpc_id = params.get("requestId")
+        if method == "notifications/cancelled" and isinstance(rpc_id, str | int):
+            request = self.requests.get(rpc_id)
+            if request is not None:
+                self.remove_request(request)
+                peer.open_requests.discard(rpc_id)
+                self.front.router.client_left(request.id)
+
+    def remove_request(self, request: ClientRequest) -> None:
+        """Remove a request that has ended; the connection may be closed if it was the last one."""
+        self.requests.pop(request.rpc_id, None)
         self.peer.idle_since = self.front.loop.now
-        if self.front.mode.close_idle and not self.exchanges:
+        if self.front.mode.close_idle and not self.requests:
             self.front.loop.after(0.0, self.peer.close_gracefully)
 
     def slow(self, peer: Peer, slow: bool) -> None:
-        for exchange in list(self.exchanges.values()):
-            self.front.router.client_slow(exchange.id, slow)
+        """Pause or resume the streams of a client that reads too slowly; close it if that lasts."""
+        for request in list(self.requests.values()):
+            self.front.router.client_slow(request.id, slow)
         if slow:
             self.slow_reader.start()
         else:
             self.slow_reader.stop()
 
     def _stalled(self) -> None:
-        """A client that takes nothing for long holds workers' places: it counts as gone."""
-        self.front.loop.log("client stalled", f"{len(self.exchanges)} requests")
+        """Close the connection of a client that has stopped reading, because its streams occupy workers."""
+        self.front.loop.log("client stalled", f"{len(self.requests)} requests")
         self.peer.close()
-        self._left(Ending.CLIENT_STALLED)
+        self._end_requests(Ending.CLIENT_STALLED)
 
     def gone(self, peer: Peer) -> None:
-        self._left(Ending.CLIENT_LEFT)
+        """The connection has ended."""
+        self._end_requests(Ending.CLIENT_LEFT)
 
-    def _left(self, ending: Ending) -> None:
+    def _end_requests(self, ending: Ending) -> None:
         self.slow_reader.stop()
         self.front.connections.discard(self)
-        exchanges, self.exchanges = self.exchanges, {}
-        for exchange in exchanges.values():
-            self.front.router.client_left(exchange.id, ending)
+        requests, self.requests = self.requests, {}
+        for request in requests.values():
+            self.front.router.client_left(request.id, ending)
 
 
 class ClientFront(ClientConnections[ClientConnection]):
+    """The client connections of the tool-calls front."""
+
     def __init__(self, loop: Loop, router: Router, names: Names) -> None:
-        super().__init__(loop, IDLE_MOST)
+        super().__init__(loop, IDLE_TIMEOUT_S)
         self.router, self.names = router, names
 
     def accepted(self, sock: socket.socket) -> None:
+        """Handle a connection that has been accepted."""
         self.connections.add(ClientConnection(self, sock))
--- a/yewhook/toolcalls/config.py
+++ b/yewhook/toolcalls/config.py
@@ -1,4 +1,4 @@
-"""What `deploy/toolcalls.toml` says, checked once."""
+"""Configuration of the tool-calls front (`deploy/toolcalls.toml`)."""
 
 from __future__ import annotations
 
@@ -17,20 +17,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ToolCallsConfig:
+    """The checked content of a tool-calls file and of the settings file that it names."""
+
     listen: Address
-    records: Path
-    domain: str
-    worker_service: str
+    records: Path  # DNS master file with the DNS-SD records
+    domain: str  # ends with a dot
+    worker_service: str  # such as `_worker._tcp`
     tool_service: str
     settings: Settings
     names: Names
-    tool_deadline: float  # s for one tool call, from its request to its reply
-    worker_silence: float  # s that a running stream may stand still while no tool call is open
-    connect_timeout: float
-    idle_limit: float  # s after which the other side closes an idle connection
+    tool_deadline_s: float  # for one tool call, from its request to its response
+    worker_silence_s: float  # limit without an event in a stream while no tool call is open
+    connect_timeout_s: float
+    idle_limit_s: float  # time after which the other side closes an idle connection
 
 
 def read(path: Path) -> ToolCallsConfig:
+    """Read and check a tool-calls file. Raises ConfigError."""
     table = TomlTable.parse(path, read_toml(path), KEYS)
     settings, names = _settings(table.file("settings"))
     return ToolCallsConfig(
@@ -41,18 +44,18 @@
         tool_service=table.text("tool_service"),
         settings=settings,
         names=names,
-        tool_deadline=table.positive("tool_deadline_s", 10.0),
-        worker_silence=table.positive("worker_silence_s", 30.0),
-        connect_timeout=table.positive("connect_timeout_s", 0.25),
-        idle_limit=table.positive("idle_limit_s", 30.0),
+        tool_deadline_s=table.positive("tool_deadline_s", 10.0),
+        worker_silence_s=table.positive("worker_silence_s", 30.0),
+        connect_timeout_s=table.positive("connect_timeout_s", 0.25),
+        idle_limit_s=table.positive("idle_limit_s", 30.0),
     )
 
 
 def _settings(path: Path) -> tuple[Settings, Names]:
     try:
-        env: Any = json.loads(path.read_text())
+        content: Any = json.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise ConfigError(f"{path}: {error}") from error
-    if not isinstance(env, dict):
+    if not isinstance(content, dict):
         raise ConfigError(f"{path}: expected an object")
-    return parse_settings(env)
+    return parse_settings(content)
--- a/yewhook/toolcalls/fleet.py
+++ b/yewhook/toolcalls/discovery.py
@@ -1,20 +1,21 @@
-"""The workers that the records name, in discovery's form; looked at again while the process runs."""
+"""Worker discovery from DNS-SD records, read again when their file changes."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
-from hopshed import interface as i
+from hopshed import interface
 
 from ..dnssd import Records, RecordsError, ServiceInstance
 from ..loop import Loop
 from ..worker_list import WorkerList
 
-LOOK_EVERY = 0.5  # s
+REFRESH_INTERVAL_S = 0.5
 
 
-def entry(instance: ServiceInstance) -> dict[str, Any]:
+def discovery_entry(instance: ServiceInstance) -> dict[str, Any]:
+    """An instance in the form of an entry of the platform's discovery."""
     texts = instance.texts
     return {
         "instanceId": texts.get("id") or instance.name,
@@ -28,35 +29,37 @@
     }
 
 
-class Fleet:
+class RecordsDiscovery:
+    """Passes the workers that the records name to `listed`, at the start and after each change."""
+
     def __init__(
         self,
         loop: Loop,
         records: Records,
         service: str,
         worker_list: WorkerList,
-        listed: Callable[[i.ListKind, tuple[i.Server, ...]], None],
+        listed: Callable[[interface.ListKind, tuple[interface.Server, ...]], None],
     ) -> None:
         self._loop, self._records, self._service = loop, records, service
         self._worker_list, self._listed = worker_list, listed
-        self.looked = loop.now  # when the records were last found good
-        self._read(i.ListKind.SAVED)
-        loop.after(LOOK_EVERY, self._look)
+        self.checked_at = loop.now  # when the records were last checked without an error
+        self._publish(interface.ListKind.SAVED)
+        loop.after(REFRESH_INTERVAL_S, self._refresh)
 
-    def move(self, records: Records, service: str) -> None:
-        """Go on with other records."""
+    def use_records(self, records: Records, service: str) -> None:
+        """Continue with other records or another service name."""
         self._records, self._service = records, service
-        self._read(i.ListKind.FULL)
+        self._publish(interface.ListKind.FULL)
 
-    def _look(self) -> None:
+    def _refresh(self) -> None:
         try:
             if self._records.refresh():
-                self._read(i.ListKind.FULL)
-            self.looked = self._loop.now
+                self._publish(interface.ListKind.FULL)
+            self.checked_at = self._loop.now
         except RecordsError as error:
             self._loop.log("records not understood", str(error))
-        self._loop.after(LOOK_EVERY, self._look)
+        self._loop.after(REFRESH_INTERVAL_S, self._refresh)
 
-    def _read(self, kind: i.ListKind) -> None:
-        entries = [entry(instance) for instance in self._records.browse(self._service)]
+    def _publish(self, kind: interface.ListKind) -> None:
+        entries = [discovery_entry(instance) for instance in self._records.browse(self._service)]
         self._listed(kind, self._worker_list.parse({"reset": True, "instances": entries}))
--- a/yewhook/toolcalls/endings.py
+++ b/yewhook/toolcalls/endings.py
@@ -1,43 +1,43 @@
-"""How endings are told on this wire, and the other way round: the one table of both directions."""
+"""Mapping between the endings of attempts and JSON-RPC error codes, in both directions."""
 
 from __future__ import annotations
 
 from ..core.ending import Ending
 from ..jsonrpc import Code, ConnectionLost, RequestTimedOut, RpcError
 
-TO_CLIENT: dict[Ending, Code] = {
+CODE_BY_ENDING: dict[Ending, Code] = {
     Ending.TOOL_TIMED_OUT: Code.TOOL_TIMED_OUT,
     Ending.TOOL_GONE: Code.TOOL_GONE,
     Ending.TOOL_ERROR: Code.TOOL_ERROR,
     Ending.ERROR: Code.FAILED,
     Ending.GARBLED: Code.FAILED,
-}  # a stream that ended in any other way is BROKEN_OFF
-FROM_WORKER: dict[int, Ending] = {
+}  # any other ending is STREAM_ABORTED during a stream and FAILED before it
+ENDING_BY_CODE: dict[int, Ending] = {
     Code.TURNED_AWAY: Ending.TURNED_AWAY,
     Code.REFUSED: Ending.TURNED_AWAY,
     Code.STATE_GONE: Ending.STATE_GONE,
     Code.TOOL_TIMED_OUT: Ending.TOOL_TIMED_OUT,
     Code.TOOL_GONE: Ending.TOOL_GONE,
     Code.TOOL_ERROR: Ending.TOOL_ERROR,
-}  # any other code is an ERROR
+}  # any other code is Ending.ERROR
 
 
-def of_worker(error: RpcError) -> Ending:
-    """How an attempt ended whose worker did not answer with a result."""
+def ending_of_error(error: RpcError) -> Ending:
+    """The ending of an attempt whose request to the worker failed."""
     if isinstance(error, ConnectionLost):
         if not error.connected:
             return Ending.CONNECT_SILENT if error.closed_cleanly else Ending.CONNECT_REFUSED
         if not error.sent:
             return Ending.BROKEN_UNSENT
         return Ending.CLOSED if error.closed_cleanly else Ending.BROKEN
-    return FROM_WORKER.get(error.code, Ending.ERROR)
+    return ENDING_BY_CODE.get(error.code, Ending.ERROR)
 
 
-def of_tool(error: RpcError, name: str) -> RpcError:
-    """What a worker and its client are told of a tool call that failed."""
+def tool_call_error(error: RpcError, tool: str) -> RpcError:
+    """The error of a failed tool call, as reported to the worker and its client."""
     if isinstance(error, RequestTimedOut):
-        return RpcError(Code.TOOL_TIMED_OUT, f"tool {name!r} did not answer in time")
+        return RpcError(Code.TOOL_TIMED_OUT, f"tool {tool!r} did not answer in time")
     if isinstance(error, ConnectionLost):
-        return RpcError(Code.TOOL_GONE, f"the server of tool {name!r} went away during the call")
+        return RpcError(Code.TOOL_GONE, f"the server of tool {tool!r} went away during the call")
     data = {"code": error.code, "message": error.message}
-    return RpcError(Code.TOOL_ERROR, f"tool {name!r} failed: {error.message}", data)
+    return RpcError(Code.TOOL_ERROR, f"tool {tool!r} failed: {error.message}", data)
--- a/yewhook/toolcalls/front.py
+++ b/yewhook/toolcalls/front.py
@@ -1,4 +1,4 @@
-"""Puts the tool-calls front together."""
+"""The tool-calls front: clients, workers and tool servers connected through a router."""
 
 from __future__ import annotations
 
@@ -11,34 +11,37 @@
 from ..service import ResourceBudget
 from .clients import ClientFront
 from .config import ToolCallsConfig
-from .fleet import Fleet
+from .discovery import RecordsDiscovery
 from .peers import PeerPool
-from .tools import Tools
-from .workers import RpcWorkers, let_go
+from .tools import ToolServers
+from .workers import RpcWorkers, release_state
 
 
 class ToolCallsFront(RouterFront):
+    """A router whose clients, workers and tool servers speak JSON-RPC and are found by DNS-SD records."""
+
     front_name = "toolcalls"
 
     def __init__(
         self,
         loop: Loop,
         config: ToolCallsConfig,
-        room: ResourceBudget,
+        budget: ResourceBudget,
         seed: int,
-        read_again: Callable[[], ToolCallsConfig],
+        read_config: Callable[[], ToolCallsConfig],
     ) -> None:
-        self._config, self._read_again = config, read_again
-        self._records = _records(config)
-        pool = PeerPool(loop, room.can_open_worker, config.connect_timeout, config.idle_limit)
+        """`read_config` reads the configuration again for a reload. Raises ConfigError and OSError."""
+        self._config, self._read_config = config, read_config
+        self._records = _open_records(config)
+        pool = PeerPool(loop, budget.can_open_worker, config.connect_timeout_s, config.idle_limit_s)
         super().__init__(
             loop,
             config.settings,
             config.names,
-            lambda address, request_id, done: let_go(pool, address, request_id, done),
+            lambda address, request_id, done: release_state(pool, address, request_id, done),
             pool.liveness,
         )
-        self._tools = tools = Tools(loop, pool, config.tool_deadline, self._tool_servers, seed)
+        self._tools = tools = ToolServers(loop, pool, config.tool_deadline_s, self._tool_servers, seed)
         self._workers = workers = RpcWorkers(
             loop,
             pool,
@@ -46,38 +49,44 @@
             config.names.columns,
             self.worker_list,
             self.releases.release,
-            config.worker_silence,
+            config.worker_silence_s,
         )
         self.create_router(workers, seed)
-        self._fleet = Fleet(
+        self._discovery = RecordsDiscovery(
             loop, self._records, config.worker_service, self.worker_list, self.router.servers_listed
         )
         self.clients = ClientFront(loop, self.router, config.names)
-        self.open(self.clients, config.listen, room, "tool-calls")
+        self.open(self.clients, config.listen, budget, "tool-calls")
 
     def _tool_servers(self) -> list[ServiceInstance]:
         return self._records.browse(self._config.tool_service)
 
     @property
     def discovery_age(self) -> float:
-        return self.loop.now - self._fleet.looked
+        """Seconds since the records were last checked without an error."""
+        return self.loop.now - self._discovery.checked_at
 
     def reload(self) -> Callable[[], str]:
-        config = self._read_again()
-        records = _records(config)
+        """Read the configuration again; the returned function applies it and tells what changed.
+
+        Raises ConfigError.
+        """
+        config = self._read_config()
+        records = _open_records(config)
 
-        def put_in_force() -> str:
-            """Where the records are and how long is waited can change; the settings are built in."""
+        def apply() -> str:
+            """Apply the new records and timeouts. All other settings need a restart."""
             old, self._config = self._config, config
             self._records = records
-            self._tools.deadline, self._workers.silence = config.tool_deadline, config.worker_silence
-            self._fleet.move(records, config.worker_service)
+            self._tools.call_timeout_s = config.tool_deadline_s
+            self._workers.silence_timeout_s = config.worker_silence_s
+            self._discovery.use_records(records, config.worker_service)
             return f"records are now read from {config.records}" if config.records != old.records else ""
 
-        return put_in_force
+        return apply
 
 
-def _records(config: ToolCallsConfig) -> Records:
+def _open_records(config: ToolCallsConfig) -> Records:
     try:
         return Records(config.records, config.domain)
     except RecordsError as error:
--- a/yewhook/toolcalls/peers.py
+++ b/yewhook/toolcalls/peers.py
@@ -1,4 +1,4 @@
-"""The pool of JSON-RPC connections to workers and tool servers."""
+"""Pool of JSON-RPC connections to workers and tool servers."""
 
 from __future__ import annotations
 
@@ -11,37 +11,40 @@
 from ..loop import Loop
 
 
-class Nobody:
-    """Hears a connection that has nothing in hand."""
+class IdlePeerHandler:
+    """Handles the messages of a pooled connection that no exchange uses."""
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
+        """Reject it: a request is allowed only during an exchange."""
         raise RpcError(Code.INVALID_REQUEST, "nothing is open on this connection")
 
     def notification(self, peer: Peer, method: str, params: dict[str, Any]) -> None:
-        """Late news of a request that has ended."""
+        """Ignored: it belongs to a request that has ended."""
 
     def gone(self, peer: Peer) -> None:
-        """The pool finds that out when it takes the connection."""
+        """Ignored: the pool checks a connection before it is used again."""
 
     def slow(self, peer: Peer, slow: bool) -> None:
-        """Nothing is being written."""
+        """Ignored: nothing is being sent."""
 
 
-NOBODY = Nobody()
+IDLE_PEER_HANDLER = IdlePeerHandler()
 
 
 class PeerPool(ConnectionPool[Peer]):
+    """Idle connections by address; times in seconds."""
+
     def __init__(
-        self, loop: Loop, room: Callable[[], bool], connect_timeout: float, idle_limit: float
+        self, loop: Loop, can_open: Callable[[], bool], connect_timeout: float, idle_limit: float
     ) -> None:
         def connect(address: Address) -> Peer:
-            return Peer.connect(loop, address, NOBODY, connect_timeout)
+            return Peer.connect(loop, address, IDLE_PEER_HANDLER, connect_timeout)
 
-        super().__init__(loop, room, idle_limit, connect)
+        super().__init__(loop, can_open, idle_limit, connect)
 
     def give_back(self, peer: Peer) -> None:
-        """Keep a connection whose exchange is over, unless the other side has something open on it."""
-        peer.handler = NOBODY
+        """Return a connection after its exchange; it is closed if a request is open or data is unsent."""
+        peer.handler = IDLE_PEER_HANDLER
         if peer.channel.closed:
             return
         if peer.open_requests or peer.channel.unsent:
@@ -51,6 +54,6 @@
 
     @staticmethod
     def close_gracefully(peer: Peer) -> None:
-        """End a connection whose exchange was given up; what is written last still goes out."""
-        peer.handler = NOBODY
+        """Close a connection whose exchange was cancelled, after flushing its send buffer."""
+        peer.handler = IDLE_PEER_HANDLER
         peer.close_gracefully()
--- a/yewhook/toolcalls/tools.py
+++ b/yewhook/toolcalls/tools.py
@@ -1,4 +1,4 @@
-"""Calls to tool servers: found by their records, relayed once, each with a deadline."""
+"""Tool calls of workers, relayed to the tool servers that DNS-SD records name."""
 
 from __future__ import annotations
 
@@ -9,88 +9,96 @@
 from ..dnssd import ServiceInstance, order_instances
 from ..jsonrpc import Code, ConnectionLost, Id, Peer, RpcError
 from ..loop import Loop
-from .endings import of_tool
+from .endings import tool_call_error
 from .peers import PeerPool
 
-Answered = Callable[[Any, RpcError | None], None]
+ToolCallback = Callable[[Any, RpcError | None], None]
 
 
-def offers(instance: ServiceInstance, tool: str) -> bool:
-    """A tool server's TXT record lists its tools: `tools=repair-history,parts-stock`."""
+def offers_tool(instance: ServiceInstance, tool: str) -> bool:
+    """Whether the server's TXT record lists the tool, as in `tools=repair-history,parts-stock`."""
     return tool in (name.strip() for name in instance.texts.get("tools", "").split(","))
 
 
 class ToolCall:
-    """One `tools/call`: asked at one server; at the next only while none can have begun on it."""
+    """One `tools/call` with a deadline.
 
-    def __init__(self, tools: Tools, params: dict[str, Any], answered: Answered) -> None:
+    The next server is tried only while no server can have started the call: a tool may have side effects.
+    """
+
+    def __init__(self, tools: ToolServers, params: dict[str, Any], callback: ToolCallback) -> None:
         self.tools, self.params, self.name = tools, params, str(params["name"])
-        self._answered = answered
-        self._left = tools.servers(self.name)
-        self._until = tools.loop.now + tools.deadline
+        self._callback = callback
+        self._untried = tools.offering(self.name)
+        self._deadline = tools.loop.now + tools.call_timeout_s
         self._peer: Peer | None = None
-        self._asked: Id = 0
-        self._over = False
+        self._request_id: Id = 0
+        self._finished = False
 
-    def next(self) -> None:
-        while self._left:
-            server = self._left.pop(0)
+    def try_next_server(self) -> None:
+        """Send the call to the next server that can be connected to; fail with TOOL_GONE if none is left."""
+        while self._untried:
+            server = self._untried.pop(0)
             try:
                 peer = self.tools.pool.acquire(server.address)
             except OSError as error:
                 self.tools.loop.log("no connection to a tool server", f"{server.name}: {error}")
                 continue
             self._peer = peer
-            left = max(0.001, self._until - self.tools.loop.now)
-            self._asked = peer.ask("tools/call", self.params, self._replied, left)
+            timeout = max(0.001, self._deadline - self.tools.loop.now)
+            self._request_id = peer.ask("tools/call", self.params, self._response_received, timeout)
             return
-        self._end(None, RpcError(Code.TOOL_GONE, f"no server for tool {self.name!r}"))
+        self._finish(None, RpcError(Code.TOOL_GONE, f"no server for tool {self.name!r}"))
 
-    def _replied(self, result: Any, error: RpcError | None) -> None:
-        if self._over or self._peer is None:
+    def _response_received(self, result: Any, error: RpcError | None) -> None:
+        if self._finished or self._peer is None:
             return
         peer, self._peer = self._peer, None
         if isinstance(error, ConnectionLost) and not error.sent:
-            return self.next()
-        # After a time-out a late reply could still come, so the connection is not used again.
-        clean = error is None or error.__class__ is RpcError
-        self.tools.pool.give_back(peer) if clean else self.tools.pool.close_gracefully(peer)
+            return self.try_next_server()
+        # After a timeout a late response could still arrive, so the connection is not used again.
+        reusable = error is None or error.__class__ is RpcError
+        self.tools.pool.give_back(peer) if reusable else self.tools.pool.close_gracefully(peer)
         if error is not None:
-            error = of_tool(error, self.name)
+            error = tool_call_error(error, self.name)
             self.tools.loop.log("tool call failed", f"{error.code} {error.message}")
-        return self._end(result, error)
+        return self._finish(result, error)
 
-    def _end(self, result: Any, error: RpcError | None) -> None:
-        if not self._over:
-            self._over = True
-            self._answered(result, error)
+    def _finish(self, result: Any, error: RpcError | None) -> None:
+        if not self._finished:
+            self._finished = True
+            self._callback(result, error)
 
     def cancel(self, reason: str) -> None:
-        """Nobody waits for the answer any more."""
-        self._over = True
+        """Cancel the call at its tool server; the callback is not called any more."""
+        self._finished = True
         if self._peer is not None:
-            self._peer.cancel(self._asked, reason)
+            self._peer.cancel(self._request_id, reason)
             self.tools.pool.close_gracefully(self._peer)
             self._peer = None
 
 
-class Tools:
+class ToolServers:
+    """The known tool servers and the connections to them."""
+
     def __init__(
         self,
         loop: Loop,
         pool: PeerPool,
-        deadline: float,
+        call_timeout_s: float,
         browse: Callable[[], list[ServiceInstance]],
         seed: int,
     ) -> None:
-        self.loop, self.pool, self.deadline = loop, pool, deadline
+        """`browse` lists the tool servers; `seed` determines the choice among those of equal priority."""
+        self.loop, self.pool, self.call_timeout_s = loop, pool, call_timeout_s
         self._browse, self._random = browse, random.Random(seed)
 
-    def servers(self, tool: str) -> list[ServiceInstance]:
-        return order_instances([s for s in self._browse() if offers(s, tool)], self._random)
+    def offering(self, tool: str) -> list[ServiceInstance]:
+        """The servers that offer a tool, in the order in which to try them."""
+        return order_instances([s for s in self._browse() if offers_tool(s, tool)], self._random)
 
-    def call(self, params: dict[str, Any], answered: Answered) -> ToolCall:
-        """Begin a call; it may be answered before this returns."""
-        call = ToolCall(self, params, answered)
-        call.next()
+    def call(self, params: dict[str, Any], callback: ToolCallback) -> ToolCall:
+        """Start a call; the callback may run before this returns."""
+        call = ToolCall(self, params, callback)
+        call.try_next_server()
         return call
--- a/yewhook/toolcalls/workers.py
+++ b/yewhook/toolcalls/workers.py
@@ -1,4 +1,4 @@
-"""The workers' side: one attempt a connection, and the tool calls that a worker makes in its stream."""
+"""Attempts at workers, one per connection, and the tool calls that workers make during a stream."""
 
 from __future__ import annotations
 
@@ -13,189 +13,207 @@
 from ..loop import Loop
 from ..releases import DoneCallback
 from ..worker_list import WorkerList
-from .endings import of_worker
+from .endings import ending_of_error
 from .peers import PeerPool
-from .tools import ToolCall, Tools
+from .tools import ToolCall, ToolServers
 
-OPEN_CALLS = 8  # tool calls that one stream may have open at once
-WITHDRAWN = RpcError(Code.TOOL_ERROR, "withdrawn by the worker")
+MAX_OPEN_TOOL_CALLS = 8  # per stream
+TOOL_CALL_CANCELLED = RpcError(Code.TOOL_ERROR, "withdrawn by the worker")
 
 
-class Shown(NamedTuple):
-    """What a client is shown of a running stream, in order."""
+class StreamNotification(NamedTuple):
+    """A notification that is forwarded to the client during a stream."""
 
     method: str
     params: dict[str, Any]
 
 
 class WorkerAttempt:
-    """One attempt at one worker, from its request to its end; it hears what the worker says meanwhile."""
+    """One attempt at one worker; handles the worker's messages from its request to its end."""
 
     def __init__(self, workers: RpcWorkers, request_id: str, number: int) -> None:
         self.workers, self.request_id, self.number = workers, request_id, number
         self.peer: Peer | None = None
-        self.asked: Id = 0
-        self._calls: dict[Id, ToolCall | None] = {}
-        self._heard = workers.loop.now
+        self.rpc_id: Id = 0
+        self._tool_calls: dict[Id, ToolCall | None] = {}
+        self._heard_at = workers.loop.now
         self._streaming = False
 
-    def begin(self, address: Address, params: dict[str, Any], within: float) -> None:
-        """Raises OSError where there is no connection."""
+    def begin(self, address: Address, params: dict[str, Any], connect_timeout: float) -> None:
+        """Send the attempt; `connect_timeout` in seconds. Raises OSError if no connection can be opened."""
         self.peer = peer = self.workers.pool.acquire(address)
-        peer.limit_connect_time(within)
+        peer.limit_connect_time(connect_timeout)
         peer.handler = self
-        self.asked = peer.ask("chat/completions", params, self._replied)
+        self.rpc_id = peer.ask("chat/completions", params, self._response_received)
 
-    # ---- what the worker says ----
+    # ---- messages of the worker ----
 
     def notification(self, peer: Peer, method: str, params: dict[str, Any]) -> None:
+        """Handle an event of the stream or the cancellation of a tool call."""
         if method == "notifications/event":
-            self._show(Shown(method, {"event": params.get("event")}))
+            self._forward(StreamNotification(method, {"event": params.get("event")}))
         elif method == "notifications/cancelled":
-            self._withdrawn(params.get("requestId"))
+            self._cancel_tool_call(params.get("requestId"))
 
     def request(self, peer: Peer, request_id: Id, method: str, params: dict[str, Any]) -> None:
+        """Start a tool call and report it to the client. Raises RpcError."""
         if method != "tools/call":
             raise RpcError(Code.METHOD_NOT_FOUND, f"unknown method {method!r}")
         if not isinstance(params.get("name"), str) or not isinstance(params.get("arguments", {}), dict):
             raise RpcError(Code.INVALID_PARAMS, "expected a name and, where there are any, arguments")
-        if len(self._calls) >= OPEN_CALLS:
+        if len(self._tool_calls) >= MAX_OPEN_TOOL_CALLS:
             raise RpcError(Code.REFUSED, "too many tool calls open in this stream")
-        asked = {"name": params["name"], "arguments": params.get("arguments", {})}
-        if not self._show(Shown("notifications/tool_call", {"callId": request_id} | asked)):
+        call_params = {"name": params["name"], "arguments": params.get("arguments", {})}
+        if not self._forward(
+            StreamNotification("notifications/tool_call", {"callId": request_id} | call_params)
+        ):
             raise RpcError(Code.INVALID_REQUEST, "there is no stream to call a tool in")
-        self._calls[request_id] = None
+        self._tool_calls[request_id] = None
         call = self.workers.tools.call(
-            params, lambda result, error: self._tool_answered(request_id, result, error)
+            params, lambda result, error: self._tool_call_finished(request_id, result, error)
         )
-        if request_id in self._calls:
-            self._calls[request_id] = call
+        if request_id in self._tool_calls:
+            self._tool_calls[request_id] = call
 
-    def _tool_answered(self, call_id: Id, result: Any, error: RpcError | None) -> None:
-        del self._calls[call_id]
+    def _tool_call_finished(self, call_id: Id, result: Any, error: RpcError | None) -> None:
+        del self._tool_calls[call_id]
         outcome = {"result": result} if error is None else {"error": error.as_object()}
-        self._show(Shown("notifications/tool_result", {"callId": call_id} | outcome))
+        self._forward(StreamNotification("notifications/tool_result", {"callId": call_id} | outcome))
         if self.peer is not None:
             self.peer.result(call_id, result) if error is None else self.peer.error(call_id, error)
 
-    def _withdrawn(self, call_id: Any) -> None:
-        if isinstance(call_id, str | int) and (call := self._calls.pop(call_id, None)) is not None:
+    def _cancel_tool_call(self, call_id: Any) -> None:
+        if isinstance(call_id, str | int) and (call := self._tool_calls.pop(call_id, None)) is not None:
             call.cancel("withdrawn by the worker")
             if self.peer is not None:
                 self.peer.open_requests.discard(call_id)
-            shown = {"callId": call_id, "error": WITHDRAWN.as_object()}
-            self._show(Shown("notifications/tool_result", shown))
+            params = {"callId": call_id, "error": TOOL_CALL_CANCELLED.as_object()}
+            self._forward(StreamNotification("notifications/tool_result", params))
 
-    def _show(self, shown: Shown) -> bool:
-        self._heard = self.workers.loop.now
-        passed = self.workers.listener.stream_event(self.request_id, self.number, shown)
-        if passed and not self._streaming:
+    def _forward(self, notification: StreamNotification) -> bool:
+        self._heard_at = self.workers.loop.now
+        forwarded = self.workers.listener.stream_event(self.request_id, self.number, notification)
+        if forwarded and not self._streaming:
             self._streaming = True
-            self._watch()
-        return passed
+            self._check_silence()
+        return forwarded
 
-    def _watch(self) -> None:
-        """A running stream has no deadline, so a worker that falls silent in it is given up at some time."""
+    def _check_silence(self) -> None:
+        """End the stream of a silent worker.
+
+        A running stream has no deadline, so without this check a silent worker would hold it open forever.
+        """
         if self.peer is None:
             return None
-        now, silence = self.workers.loop.now, self.workers.silence
-        if self._calls:
-            self._heard = now  # the tool's own deadline runs
-        if now - self._heard >= silence:
+        now, silence_timeout_s = self.workers.loop.now, self.workers.silence_timeout_s
+        if self._tool_calls:
+            self._heard_at = now  # the deadline of the tool call applies instead
+        if now - self._heard_at >= silence_timeout_s:
             self.workers.loop.log("worker fell silent in a stream", self.request_id)
             self.give_up("silent")
             return self.workers.end(self, Ending.WORKER_STALLED)
-        wait = max(0.01, self._heard + silence - now)
-        return self.workers.loop.after(wait, self._watch)
+        wait = max(0.01, self._heard_at + silence_timeout_s - now)
+        return self.workers.loop.after(wait, self._check_silence)
 
     def slow(self, peer: Peer, slow: bool) -> None:
-        """A worker reads what we write at its leisure."""
+        """Ignored: little is sent to a worker."""
 
     def gone(self, peer: Peer) -> None:
-        """Told by the reply that the loss gives."""
+        """Ignored: `_response_received` is called with ConnectionLost."""
 
-    def _replied(self, result: Any, error: RpcError | None) -> None:
+    def _response_received(self, result: Any, error: RpcError | None) -> None:
         peer, self.peer = self.peer, None
         if peer is None:
             return
-        self._drop_calls("the stream has ended")
+        self._cancel_tool_calls("the stream has ended")
         self.workers.pool.give_back(peer)
         if error is not None:
-            return self.workers.end(self, of_worker(error))
+            return self.workers.end(self, ending_of_error(error))
         body = result if isinstance(result, dict) else {}
         ending = Ending.READ if body.get("read") is True else Ending.SERVED
         load = load_reports.parse_load(body.get("load"), self.workers.columns)
         return self.workers.end(self, ending, load_reports.token_count(body.get("cachedTokens")), load)
 
-    # ---- giving up ----
+    # ---- cancellation ----
 
     def give_up(self, reason: str = "no longer wanted") -> bool:
-        """Cancel the attempt at the worker, and its calls at their tools; whether it had been written."""
+        """Cancel the attempt and its tool calls; returns whether the request had been written completely."""
         peer, self.peer = self.peer, None
-        self._drop_calls(reason)
+        self._cancel_tool_calls(reason)
         if peer is None:
             return False
         written = peer.written
-        peer.cancel(self.asked, reason)
+        peer.cancel(self.rpc_id, reason)
         self.workers.pool.close_gracefully(peer)
         return written
 
     def pause(self, paused: bool) -> None:
+        """Pause or resume reading from the worker."""
         if self.peer is not None:
             self.peer.channel.pause(paused)
 
     def catch_up(self) -> None:
+        """Handle what has arrived so far, before the next turn of the event loop."""
         if self.peer is not None:
             self.peer.channel.catch_up()
 
     @property
     def on_its_way(self) -> bool:
+        """Whether a byte of the attempt may have been sent."""
         return self.peer is not None and self.peer.is_connected
 
-    def _drop_calls(self, reason: str) -> None:
-        calls, self._calls = self._calls, {}
+    def _cancel_tool_calls(self, reason: str) -> None:
+        calls, self._tool_calls = self._tool_calls, {}
         for call in calls.values():
             if call is not None:
                 call.cancel(reason)
 
 
 class RpcWorkers(PendingAttempts[WorkerAttempt]):
-    """The core's `Workers` over JSON-RPC."""
+    """Implements `Workers` of core/ports.py over JSON-RPC."""
 
     def __init__(
         self,
         loop: Loop,
         pool: PeerPool,
-        tools: Tools,
+        tools: ToolServers,
         columns: tuple[str, ...],
         worker_list: WorkerList,
         release: ReleaseFunction,
-        silence: float,
+        silence_timeout_s: float,
     ) -> None:
+        """`columns` are the columns of load reports; for `silence_timeout_s` see `ToolCallsConfig`."""
         super().__init__(loop, worker_list, release)
-        self.pool, self.tools, self.columns, self.silence = pool, tools, columns, silence
+        self.pool, self.tools, self.columns = pool, tools, columns
+        self.silence_timeout_s = silence_timeout_s
 
     def send(
         self, request_id: str, attempt: int, server: int, call: object, timeout: float, begins: float
     ) -> None:
+        """Send an attempt; see `Workers.send`."""
         assert isinstance(call, dict)
         params = call | {"requestId": request_id, "remainingMs": max(1, round(timeout * 1000))}
         out = WorkerAttempt(self, request_id, attempt)
         self.begin(out, server, lambda address: out.begin(address, params, begins))
 
 
-def let_go(pool: PeerPool, address: Address, request_id: str, done: DoneCallback) -> Callable[[], None]:
-    """Ask a worker to let go of all that is held for a request."""
+def release_state(
+    pool: PeerPool, address: Address, request_id: str, done: DoneCallback
+) -> Callable[[], None]:
+    """Ask a worker to release the state held for a request; returns a function that cancels the call.
+
+    `done` is called with whether the worker confirmed it. Raises OSError if no connection can be opened.
+    """
     peer = pool.acquire(address)
 
-    def replied(result: Any, error: RpcError | None) -> None:
+    def response_received(result: Any, error: RpcError | None) -> None:
         pool.give_back(peer) if not isinstance(error, RequestTimedOut) else pool.close_gracefully(peer)
         done(error is None)
 
-    asked = peer.ask("reservations/release", {"requestId": request_id}, replied)
+    rpc_id = peer.ask("reservations/release", {"requestId": request_id}, response_received)
 
-    def give_up() -> None:
-        peer.cancel(asked, "no reply in time")
+    def cancel() -> None:
+        peer.cancel(rpc_id, "no reply in time")
         pool.close_gracefully(peer)
 
-    return give_up
+    return cancel
