--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -1,4 +1,4 @@
-"""A machine that is short of files or buffers for a moment: a process starts, and reads its files."""
+"""Starts and reloads on a machine that is temporarily short of file descriptors or buffers."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from yewhook.service import RELOAD_AGAIN, RELOAD_TRIES, Service, listen
 from yewhook.transient_errors import RETRY_INTERVAL_S, RETRY_TIMEOUT_S, is_transient, retry_transient
 
-FREE = ("127.0.0.1", 0)
+ANY_PORT = ("127.0.0.1", 0)
 
 
-class Failing:
-    """A call that fails so many times before it succeeds."""
+class FailingCall:
+    """A call that fails a number of times with an errno before it succeeds."""
 
-    def __init__(self, times: int, number: int) -> None:
-        self.times, self.number, self.calls = times, number, 0
+    def __init__(self, times: int, error_number: int) -> None:
+        self.times, self.error_number, self.calls = times, error_number, 0
 
     def __call__(self) -> str:
         self.calls += 1
         if self.calls <= self.times:
-            raise OSError(self.number, os.strerror(self.number))
+            raise OSError(self.error_number, os.strerror(self.error_number))
         return "done"
 
 
-class Time:
-    """A clock that moves on by what is slept."""
+class FakeClock:
+    """A clock that `sleep` advances."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -43,90 +43,95 @@
         self.now += seconds
 
 
-@pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EINTR])
-def test_a_call_that_fails_for_want_of_something_is_made_again(number: int) -> None:
-    time, call = Time(), Failing(20, number)
-    assert retry_transient(call, lambda: time.now, time.sleep) == "done"
-    assert time.now == pytest.approx(20 * RETRY_INTERVAL_S)
+@pytest.mark.parametrize("error_number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EINTR])
+def test_a_call_with_a_transient_error_is_retried(error_number: int) -> None:
+    clock, call = FakeClock(), FailingCall(20, error_number)
+    assert retry_transient(call, lambda: clock.now, clock.sleep) == "done"
+    assert clock.now == pytest.approx(20 * RETRY_INTERVAL_S)
 
 
-def test_what_is_never_there_is_given_up_in_time() -> None:
-    time = Time()
+def test_retries_end_after_the_timeout() -> None:
+    clock = FakeClock()
     with pytest.raises(OSError, match="files"):
-        retry_transient(Failing(10**6, errno.ENFILE), lambda: time.now, time.sleep)
-    assert RETRY_TIMEOUT_S <= time.now <= RETRY_TIMEOUT_S + 2 * RETRY_INTERVAL_S
+        retry_transient(FailingCall(10**6, errno.ENFILE), lambda: clock.now, clock.sleep)
+    assert RETRY_TIMEOUT_S <= clock.now <= RETRY_TIMEOUT_S + 2 * RETRY_INTERVAL_S
 
 
-@pytest.mark.parametrize("number", [errno.EADDRINUSE, errno.EACCES, errno.ENOENT])
-def test_what_no_wait_mends_is_told_at_once(number: int) -> None:
-    call = Failing(1, number)
+@pytest.mark.parametrize("error_number", [errno.EADDRINUSE, errno.EACCES, errno.ENOENT])
+def test_a_permanent_error_is_raised_at_once(error_number: int) -> None:
+    call = FailingCall(1, error_number)
     with pytest.raises(OSError):
         retry_transient(call)
     assert call.calls == 1
 
 
-def test_a_file_that_cannot_be_opened_for_want_of_descriptors_is_no_wrong_setting() -> None:
-    wrong = ConfigError("limits: wrong")
-    short = ConfigError("cannot be read")
-    short.__cause__ = OSError(errno.EMFILE, "too many")
-    assert is_transient(short) and not is_transient(wrong)
+def test_a_config_error_caused_by_a_lack_of_descriptors_is_transient() -> None:
+    invalid = ConfigError("limits: wrong")
+    no_descriptors = ConfigError("cannot be read")
+    no_descriptors.__cause__ = OSError(errno.EMFILE, "too many")
+    assert is_transient(no_descriptors) and not is_transient(invalid)
 
 
 @pytest.fixture
-def scarce(monkeypatch: pytest.MonkeyPatch) -> Callable[[int], None]:
-    """Let so many sockets fail to open."""
+def failing_sockets(monkeypatch: pytest.MonkeyPatch) -> Callable[[int], None]:
+    """Returns a function that makes the given number of socket creations fail with ENOBUFS."""
 
     def fail(times: int) -> None:
-        left, plain = [times], socket.socket.__init__
+        remaining, original = [times], socket.socket.__init__
 
         def init(self: socket.socket, *arguments: int, **named: int) -> None:
-            if left[0] and "fileno" not in named and len(arguments) < 4:
-                left[0] -= 1
+            if remaining[0] and "fileno" not in named and len(arguments) < 4:
+                remaining[0] -= 1
                 raise OSError(errno.ENOBUFS, "injected")
-            plain(self, *arguments, **named)
+            original(self, *arguments, **named)
 
         monkeypatch.setattr(socket.socket, "__init__", init)
 
     return fail
 
 
-def test_a_process_listens_though_its_first_sockets_fail(scarce: Callable[[int], None]) -> None:
-    # One error of `socket` as a process began was the end of it.
-    scarce(2)
-    with listen(FREE) as listener:
+def test_listening_is_retried_when_the_first_sockets_fail(failing_sockets: Callable[[int], None]) -> None:
+    # A single transient error of `socket` used to end the process at its start.
+    failing_sockets(2)
+    with listen(ANY_PORT) as listener:
         assert listener.getsockname()[1] > 0
 
 
-def test_routers_hear_one_another_though_the_first_socket_fails(scarce: Callable[[int], None]) -> None:
+def test_the_socket_between_routers_is_retried_when_the_first_one_fails(
+    failing_sockets: Callable[[int], None],
+) -> None:
     loop = Loop(Log("test"))
-    scarce(1)
-    peers = Peers(loop, FREE, (), FREE, lambda number, data: None)
+    failing_sockets(1)
+    peers = Peers(loop, ANY_PORT, (), ANY_PORT, lambda router, data: None)
     assert loop.sockets == 1
     peers.close()
 
 
-@pytest.mark.parametrize(("fails", "taken"), [(RELOAD_TRIES - 1, True), (RELOAD_TRIES, False)])
-def test_a_reload_waits_for_descriptors(fails: int, taken: bool, tmp_path: Path) -> None:
-    # Discovery's new address counts 4 s after SIGHUP, and one file that could not be opened kept the old one.
-    now, read = [0.0], list[str]()
+@pytest.mark.parametrize(("fails", "expected"), [(RELOAD_TRIES - 1, True), (RELOAD_TRIES, False)])
+def test_a_reload_is_retried_until_descriptors_are_available(
+    fails: int, expected: bool, tmp_path: Path
+) -> None:
+    # The new address of discovery must be used within 4 s of SIGHUP. Without retries, a file that cannot be
+    # opened for a moment would make the router keep the old address.
+    now, applied = [0.0], list[str]()
     loop = Loop(Log("test"), lambda: now[0])
     service = Service(Log("test"), loop)
-    tries = Failing(fails, errno.ENFILE)
+    call = FailingCall(fails, errno.ENFILE)
 
-    def put_in_force() -> str:
-        read.append("new")
+    def apply() -> str:
+        applied.append("new")
         return ""
 
-    def configuration() -> Callable[[], str]:
+    def reload() -> Callable[[], str]:
         try:
-            tries()
+            call()
         except OSError as error:
             raise ConfigError("the file cannot be read") from error
-        return put_in_force
+        return apply
 
-    service.reloaders.append(configuration)
+    service.reloaders.append(reload)
     service.reload()
     while now[0] < RELOAD_TRIES * RELOAD_AGAIN + 0.5:
         now[0] += RELOAD_AGAIN / 2
         loop.run_turn(0.0)
-    assert bool(read) is taken and tries.calls <= RELOAD_TRIES
+    assert bool(applied) is expected and call.calls <= RELOAD_TRIES
--- a/yewhook/__init__.py
+++ b/yewhook/__init__.py
@@ -1,3 +1,3 @@
-"""yewhook: a session-aware router on real sockets round the decision module hopshed."""
+"""yewhook: a session-aware router for language-model servers, built on the decision module hopshed."""
 
 __version__ = "0.1.0"
--- a/yewhook/__main__.py
+++ b/yewhook/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command line: `python -m yewhook`."""
+
 from .cli import app
 
 app()
--- a/yewhook/cli.py
+++ b/yewhook/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The commands of `yewhook`. The groups `levels`, `lab` and `recovery` are in the package `commands`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from . import __version__
 from .commands.common import DEFAULT_AGENT_ADDRESS, AgentOption, ask_agent, read_settings, usage_error
 from .commands.lab import lab
-from .commands.levels import level_of, levels
+from .commands.levels import format_level, levels
 from .commands.recovery import recovery
 from .config import Address, Config, ConfigError, Limits
 from .config import read as read_config
@@ -33,8 +33,8 @@
     from .recovery.settings import RecoverySettings
     from .recovery.snapshot_store import SnapshotStore
 
-REQUEST_LOG = "PROXY_REQUEST_LOG"  # "all" = write each step of each request, for those who look for a fault
-UPGRADE_PATIENCE = 20.0  # s; the agent gives up before
+REQUEST_LOG = "PROXY_REQUEST_LOG"  # environment variable; "all" = log each step of each request
+UPGRADE_TIMEOUT_S = 20.0  # longer than the agent waits for an upgrade
 app = typer.Typer(no_args_is_help=True, add_completion=False, help="A router for model servers.")
 
 
@@ -45,10 +45,14 @@
 
 @app.command()
 def serve(
-    platform: Annotated[bool, typer.Option(help="Serve the platform, as PROXY_CONFIG says.")] = True,
-    toolcalls: Annotated[Path | None, typer.Option(help="Serve tool calls too, as this file says.")] = None,
+    platform: Annotated[bool, typer.Option(help="Serve the platform, configured by PROXY_CONFIG.")] = True,
+    toolcalls: Annotated[
+        Path | None, typer.Option(help="Serve tool calls as well, configured by this file.")
+    ] = None,
     settings: Annotated[Path | None, typer.Option("--service", help="The operators' file.")] = None,
-    control_fd: Annotated[int | None, typer.Option(hidden=True, help="The agent's line to it.")] = None,
+    control_fd: Annotated[
+        int | None, typer.Option(hidden=True, help="Descriptor of the connection to the agent.")
+    ] = None,
     drained: Annotated[bool, typer.Option(help="Start drained, until told to resume.")] = False,
 ) -> None:
     """Run one router until SIGTERM."""
@@ -58,19 +62,21 @@
     fronts: list[RouterFront] = []
     snapshot_store = None
     try:
-        read_operators = partial(read_settings, settings)
-        operators = retry_transient(read_operators)
-        service.log.set_format(operators.log)
+        read_service_settings = partial(read_settings, settings)
+        service_settings = retry_transient(read_service_settings)
+        service.log.set_format(service_settings.log)
         config = retry_transient(partial(read_config, os.environ)) if platform else None
         limits = config.limits if config else Limits()
-        door_files = RESERVED_DESCRIPTORS if config is not None and config.mgmt is not None else 0
-        room = ResourceBudget(service.loop, limits, door_files)
+        reserved_descriptors = RESERVED_DESCRIPTORS if config is not None and config.mgmt is not None else 0
+        budget = ResourceBudget(service.loop, limits, reserved_descriptors)
         if config is not None:
-            snapshot_store = _snapshot_store(service, config, operators.recovery)
-            fronts.append(_platform(service, config, room, snapshot_store))
+            snapshot_store = _snapshot_store(service, config, service_settings.recovery)
+            fronts.append(_platform(service, config, budget, snapshot_store))
         if toolcalls is not None:
-            fronts.append(_toolcalls(service, toolcalls, room))
-        level_admin = ServiceLevelAdmin(service.loop, service.log, limits, fronts, operators, read_operators)
+            fronts.append(_toolcalls(service, toolcalls, budget))
+        level_admin = ServiceLevelAdmin(
+            service.loop, service.log, limits, fronts, service_settings, read_service_settings
+        )
         if snapshot_store is not None and (pin := snapshot_store.pin) is not None:
             level_admin.pin(Level.from_label(pin.level), pin.until - time.time(), pin.reason)
     except (ConfigError, OSError) as error:
@@ -93,38 +99,40 @@
 ) -> SnapshotStore | None:
     if settings is None:
         return None
-    # Only where operators want it: what is kept takes a library and memory.
+    # Imported only if configured, because the snapshots need a library and memory.
     from .recovery.snapshot_store import SnapshotStore
 
     return SnapshotStore(service.loop, settings, config.settings, config.names, config.seed)
 
 
 def _platform(
-    service: Service, config: Config, room: ResourceBudget, snapshot_store: SnapshotStore | None
+    service: Service, config: Config, budget: ResourceBudget, snapshot_store: SnapshotStore | None
 ) -> RouterFront:
     hot_restart = None
     if config.accept_fd is not None:
-        # Only where a process can be replaced; what the hand-over needs is not free.
+        # Imported only if the platform can replace the process; all others are spared its cost.
         from .operations.hot_restart import join_instance
 
         hot_restart = join_instance(service, os.environ, config.name)
     if config.mgmt is not None:
         ManagementEndpoint(service, config.mgmt)
-    handed = hot_restart.await_handover() if hot_restart is not None else None
-    succeeds = hot_restart is not None and hot_restart.has_predecessor
-    read_again = partial(read_config, os.environ, reload=True)
-    front = PlatformFront(service.loop, config, room, read_again, succeeds, handed, snapshot_store)
+    handed_over = hot_restart.await_handover() if hot_restart is not None else None
+    has_predecessor = hot_restart is not None and hot_restart.has_predecessor
+    reload_config = partial(read_config, os.environ, reload=True)
+    front = PlatformFront(
+        service.loop, config, budget, reload_config, has_predecessor, handed_over, snapshot_store
+    )
     if hot_restart is not None:
-        hot_restart.monitor(front.handover_state, room)
+        hot_restart.monitor(front.handover_state, budget)
     return front
 
 
-def _toolcalls(service: Service, path: Path, room: ResourceBudget) -> RouterFront:
-    # Only this front needs a DNS library, and a router of the platform has little memory.
+def _toolcalls(service: Service, path: Path, budget: ResourceBudget) -> RouterFront:
+    # Imported only here: this front needs a DNS library, and a router on the platform has little memory.
     from .toolcalls.config import read
     from .toolcalls.front import ToolCallsFront
 
-    return ToolCallsFront(service.loop, read(path), room, secrets.randbits(64), partial(read, path))
+    return ToolCallsFront(service.loop, read(path), budget, secrets.randbits(64), partial(read, path))
 
 
 @app.command()
@@ -136,23 +144,25 @@
 @app.command()
 def check(
     toolcalls: Annotated[Path | None, typer.Option(help="A tool-calls file.")] = None,
-    fleet: Annotated[Path | None, typer.Option(help="A fleet file, with all that it names.")] = None,
+    fleet: Annotated[Path | None, typer.Option(help="A fleet file, and the files that it names.")] = None,
     settings: Annotated[Path | None, typer.Option("--service", help="An operators' file.")] = None,
     site: Annotated[Path | None, typer.Option(help="A customer's site file.")] = None,
 ) -> None:
-    """Read configuration files and say what they hold: those named, else the one of PROXY_CONFIG."""
+    """Check the given configuration files, or the one of PROXY_CONFIG, and summarize them."""
     try:
         if toolcalls is not None:
             from .toolcalls.config import read as read_toolcalls
 
             front = read_toolcalls(toolcalls)
-            typer.echo(f"{toolcalls}: listens on {_place(front.listen)}, {len(front.names.classes)} classes")
+            typer.echo(
+                f"{toolcalls}: listens on {_format_address(front.listen)}, {len(front.names.classes)} classes"
+            )
         if fleet is not None:
             from .agent.fleet_file import read as read_fleet
 
             file = read_fleet(fleet)
             names = ", ".join(spec.name for spec in file.instances)
-            typer.echo(f"{fleet}: the agent listens on {_place(file.listen)} and runs {names}")
+            typer.echo(f"{fleet}: the agent listens on {_format_address(file.listen)} and runs {names}")
         if settings is not None:
             file_levels = read_settings(settings).levels
             used = ", ".join(level.label for level in file_levels.known)
@@ -160,38 +170,38 @@
         if site is not None:
             from .site_files import read as read_site
 
-            told = read_site(site)
-            classes = ", ".join(f"{c.name} {c.effect} {c.deadline:g} s" for c in told.classes)
-            typer.echo(f"{site}: {classes}; {len(told.tenants)} tenants")
+            site_file = read_site(site)
+            classes = ", ".join(f"{c.name} {c.effect} {c.deadline_s:g} s" for c in site_file.classes)
+            typer.echo(f"{site}: {classes}; {len(site_file.tenants)} tenants")
         if not any((toolcalls, fleet, settings, site)):
             config = read_config(os.environ)
             known = len(config.known_workers.get("instances") or [])
-            typer.echo(f"{config.name}: listens on {_place(config.listen)}, {known} known workers")
+            typer.echo(f"{config.name}: listens on {_format_address(config.listen)}, {known} known workers")
     except ConfigError as error:
         raise usage_error(error) from None
 
 
-def _place(address: Address) -> str:
+def _format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
 @app.command()
 def browse(file: Path, domain: str, service: str) -> None:
-    """Show the service instances that a file of DNS-SD records names."""
+    """Show the instances of a service from a file of DNS-SD records."""
     from .dnssd import Records, RecordsError
 
     try:
-        found = Records(file, domain.rstrip(".") + ".").browse(service)
+        instances = Records(file, domain.rstrip(".") + ".").browse(service)
     except RecordsError as error:
         raise usage_error(error) from None
-    for one in found:
-        texts = " ".join(f"{key}={value}" for key, value in one.texts.items())
-        typer.echo(f"{one.name}\t{_place(one.address)}\t{texts}")
+    for instance in instances:
+        texts = " ".join(f"{key}={value}" for key, value in instance.texts.items())
+        typer.echo(f"{instance.name}\t{_format_address(instance.address)}\t{texts}")
 
 
 @app.command()
 def agent(fleet: Path) -> None:
-    """Run the routers of a fleet file until SIGTERM, and supervise them."""
+    """Run and supervise the routers of a fleet file until SIGTERM."""
     from .agent.agent import Agent
     from .agent.fleet_file import read as read_fleet
 
@@ -199,10 +209,10 @@
     service.handle_signals()
     try:
         stop = partial(service.handle_event, Event.TERM)
-        runner = Agent(service.loop, read_fleet(fleet), stop, partial(read_fleet, fleet))
+        agent_front = Agent(service.loop, read_fleet(fleet), stop, partial(read_fleet, fleet))
     except (ConfigError, OSError) as error:
         raise usage_error(error) from None
-    service.fronts.append(runner)
+    service.fronts.append(agent_front)
     service.run()
 
 
@@ -216,12 +226,21 @@
     if as_json:
         typer.echo(json.dumps(instances, indent=2))
         return
-    for one in instances:
-        where = " ".join(f"{front}={place}" for front, place in one["listen"].items())
-        since = f"{one['state']} for {one['since_s']:.0f} s"
-        service = " ".join(level_of(front, told) for front, told in (one["levels"] or {}).items())
-        line = [one["name"], since, f"pid {one['pid'] or '-'}", f"{one['restarts']} restarts", where, service]
-        typer.echo("\t".join(line).rstrip())
+    for instance in instances:
+        addresses = " ".join(f"{front}={address}" for front, address in instance["listen"].items())
+        state = f"{instance['state']} for {instance['since_s']:.0f} s"
+        service = " ".join(
+            format_level(front, report) for front, report in (instance["levels"] or {}).items()
+        )
+        columns = [
+            instance["name"],
+            state,
+            f"pid {instance['pid'] or '-'}",
+            f"{instance['restarts']} restarts",
+            addresses,
+            service,
+        ]
+        typer.echo("\t".join(columns).rstrip())
 
 
 @app.command()
@@ -232,19 +251,21 @@
 
 @app.command()
 def stop(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
-    """Let a router finish what it has taken, and keep it stopped."""
+    """Stop a router after its open requests have ended."""
     typer.echo(f"{name} {ask_agent(at, 'agent/stop', name=name)['state']}")
 
 
 @app.command()
 def restart(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
-    """Let a router finish what it has taken, and start it anew."""
+    """Restart a router after its open requests have ended."""
     typer.echo(f"{name} {ask_agent(at, 'agent/restart', name=name)['state']}")
 
 
 @app.command()
 def demo(
-    seconds: Annotated[float, typer.Option(min=8.0, max=600.0, help="How long clients come.")] = 30.0,
+    seconds: Annotated[
+        float, typer.Option(min=8.0, max=600.0, help="How long clients send requests.")
+    ] = 30.0,
 ) -> None:
     """Run a small fleet on loopback and show a drain, its end and an upgrade; exit 1 if a request is lost."""
     from yewlab.processes.demo import show
@@ -252,26 +273,26 @@
     raise typer.Exit(0 if show(seconds, typer.echo) else 1)
 
 
-By = Annotated[str, typer.Option("--by", help="Who orders it, for those who find it under way.")]
+By = Annotated[str, typer.Option("--by", help="Who gives the order, as shown to other operators.")]
 
 
 @app.command()
 def drain(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
-    """Let a router finish what it has, and take nothing new; it stays so over restarts, until `resume`."""
+    """Let a router finish its open requests and take no new ones, across restarts, until `resume`."""
     typer.echo(f"{name} {ask_agent(at, 'agent/drain', name=name, by=by or _user())['state']}")
 
 
 @app.command()
 def resume(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
-    """Let a drained router serve again."""
+    """End the drain of a router."""
     typer.echo(f"{name} {ask_agent(at, 'agent/resume', name=name, by=by or _user())['state']}")
 
 
 @app.command()
 def upgrade(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
-    """Start a new process of a router beside the old one, and end that once the new one serves."""
-    done = ask_agent(at, "agent/upgrade", timeout=UPGRADE_PATIENCE, name=name, by=by or _user())
-    typer.echo(f"{name} {done['state']}, pid {done['pid']}")
+    """Start a new process of a router and end the old one once the new one serves."""
+    report = ask_agent(at, "agent/upgrade", timeout=UPGRADE_TIMEOUT_S, name=name, by=by or _user())
+    typer.echo(f"{name} {report['state']}, pid {report['pid']}")
 
 
 def _user() -> str:
@@ -280,6 +301,6 @@
 
 @app.command()
 def shutdown(at: AgentOption = DEFAULT_AGENT_ADDRESS) -> None:
-    """Let all routers finish, and end the agent."""
+    """Stop all routers after their open requests have ended, and then the agent."""
     ask_agent(at, "agent/shutdown")
     typer.echo("shutting down")
--- a/yewhook/commands/__init__.py
+++ b/yewhook/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Sub-commands of the command line, a module for each group."""
+"""Groups of commands, one per module."""
--- a/yewhook/commands/common.py
+++ b/yewhook/commands/common.py
@@ -1,4 +1,4 @@
-"""What commands have in common: how they complain, read the operators' file and ask a running agent."""
+"""Shared by the commands: error output, reading of the operators' file and requests to an agent."""
 
 from __future__ import annotations
 
@@ -16,21 +16,26 @@
 
 
 def usage_error(error: object) -> typer.Exit:
+    """Print an error; returns the exception that ends the command with status 2."""
     typer.echo(f"yewhook: {error}", err=True)
     return typer.Exit(2)
 
 
 def read_settings(path: Path | None) -> ServiceSettings:
-    """What the operators' file says, or what holds without one. Raises ConfigError."""
+    """Read the operators' file; without one, return the defaults. Raises ConfigError."""
     if path is None:
         return ServiceSettings()
-    from ..settings_file import read  # the checking of it costs memory, which those without a file keep
+    from ..settings_file import read  # needs memory, so it is imported only if there is a file
 
     return read(path)
 
 
 def ask_agent(at: str, method: str, timeout: float = 5.0, **params: Any) -> Any:
-    """Its answer; whatever goes wrong ends the command with one plain line."""
+    """Send a request to an agent and return the result.
+
+    On an error the command prints one line and exits, with status 2 for an invalid address and 1 otherwise.
+    `timeout` in seconds.
+    """
     from ..agent.client import ask
 
     try:
--- a/yewhook/commands/lab.py
+++ b/yewhook/commands/lab.py
@@ -1,4 +1,4 @@
-"""`yewhook lab`: experiments in the laboratory, which is installed as an extra and imported only here."""
+"""`yewhook lab`: experiments of the package yewlab, which is an optional extra and imported on use only."""
 
 from __future__ import annotations
 
@@ -8,20 +8,24 @@
 
 import typer
 
-lab = typer.Typer(no_args_is_help=True, help="Experiments on virtual time (needs the lab extra).")
-POWER = "power"  # the day of a fleet on which all is lost, played twice
+lab = typer.Typer(no_args_is_help=True, help="Experiments and simulations (needs the lab extra).")
+POWER = "power"  # scenario of `lab fleet`: a power loss of the whole fleet, run with recovery and without
 Seed = Annotated[int, typer.Option(min=0, help="The same seed gives the same result.")]
 
 
 @lab.command()
 def levels(
     seed: Seed = 1,
-    minutes: Annotated[float, typer.Option(min=1.0, max=60.0, help="Simulated, at each threshold.")] = 10.0,
+    minutes: Annotated[
+        float, typer.Option(min=1.0, max=60.0, help="Simulated time at each threshold.")
+    ] = 10.0,
     as_json: Annotated[bool, typer.Option("--json", help="One JSON object at the end.")] = False,
-    chart: Annotated[Path | None, typer.Option(help="Draw the fall of capacity into this file.")] = None,
+    chart: Annotated[
+        Path | None, typer.Option(help="Write a chart of the loss of capacity to this file.")
+    ] = None,
 ) -> None:
-    """Swing load round every threshold of the levels of service, and compare with none; exit 1 if it
-    fails."""
+    """Vary load around each threshold of the levels of service and compare with levels off; exit 1 if
+    a check fails."""
     from yewlab.levels import experiment
 
     result = experiment(seed, minutes)
@@ -38,9 +42,9 @@
 
 @lab.command()
 def memory(
-    root: Annotated[Path, typer.Option(help="This program's folder, or an earlier version's.")] = Path(),
+    root: Annotated[Path, typer.Option(help="Source folder of this or an earlier version.")] = Path(),
 ) -> None:
-    """Start routers and print what each kind holds in memory (MB) and takes to start (ms)."""
+    """Print the memory (MB) and start time (ms) of routers in several configurations."""
     from yewlab.memory import measure
 
     for cost in measure(root.resolve()):
@@ -49,9 +53,12 @@
 
 @lab.command()
 def hard_cases(
-    seeds: Annotated[int, typer.Option(min=1, max=100, help="Runs of each case, both ways.")] = 12,
+    seeds: Annotated[
+        int, typer.Option(min=1, max=100, help="Runs of each case, with levels and without.")
+    ] = 12,
 ) -> None:
-    """Print worth, fault-lookup and service-log in hard cases, without levels of service and with."""
+    """Print the worth, and that of fault-lookup and service-log, in hard cases, without levels of service and
+    with."""
     from yewlab.hardcases import compare
 
     for line in compare(seeds):
@@ -60,29 +67,35 @@
 
 @lab.command()
 def lists(
-    size: Annotated[list[int] | None, typer.Option(min=1, help="Entries of a list; may be repeated.")] = None,
+    size: Annotated[
+        list[int] | None, typer.Option(min=1, help="Entries of the list; may be repeated.")
+    ] = None,
 ) -> None:
-    """Print how long a changed list of workers, and the turn after it, keep the loop (ms)."""
+    """Print how long a changed list of workers, and the turn after it, block the event loop (ms)."""
     from yewlab.lists import measure
 
-    for stop in measure(tuple(size or (60, 600))):
+    for pause in measure(tuple(size or (60, 600))):
         typer.echo(
-            f"{stop.entries:5d} entries: list {stop.list_median:.2f}, worst {stop.list_worst:.2f}; "
-            f"turn {stop.turn_median:.2f}, worst {stop.turn_worst:.2f}"
+            f"{pause.entries:5d} entries: list {pause.list_median:.2f}, worst {pause.list_worst:.2f}; "
+            f"turn {pause.turn_median:.2f}, worst {pause.turn_worst:.2f}"
         )
 
 
 @lab.command()
 def fleet(
-    day: Annotated[list[str] | None, typer.Option(help="A day's name; may be repeated. All without.")] = None,
+    day: Annotated[
+        list[str] | None, typer.Option(help="Name of a scenario; may be repeated. Default: all.")
+    ] = None,
     seed: Seed = 1,
     routers: Annotated[int, typer.Option(min=2, max=1000)] = 200,
     workers: Annotated[int, typer.Option(min=5, max=1000)] = 100,
-    load: Annotated[float, typer.Option(min=0.1, max=3.0, help="Turns a second for each worker.")] = 0.75,
-    chart: Annotated[Path | None, typer.Option(help="Draw the return of the day `power` into it.")] = None,
+    load: Annotated[float, typer.Option(min=0.1, max=3.0, help="Turns per second and worker.")] = 0.75,
+    chart: Annotated[
+        Path | None, typer.Option(help="Write a chart of the recovery in `power` to this file.")
+    ] = None,
     as_json: Annotated[bool, typer.Option("--json", help="One JSON object at the end.")] = False,
 ) -> None:
-    """Play days of many routers on virtual time and check the rules over all of them; exit 1 if one is
+    """Simulate scenarios with many routers and check the rules across all of them; exit 1 if one is
     broken."""
     from yewlab.mass import DAYS, play_all
     from yewlab.power import compare
@@ -90,7 +103,7 @@
     names, known = day or list(DAYS), [*DAYS, POWER]
     if unknown := [name for name in names if name not in known]:
         raise typer.BadParameter(f"{unknown[0]!r}: expected one of {', '.join(known)}", param_hint="--day")
-    lost = compare(seed, routers, workers, load) if POWER in names else None
+    power_loss = compare(seed, routers, workers, load) if POWER in names else None
     results = play_all([name for name in names if name != POWER], seed, routers, workers, load)
     for result in results:
         typer.echo(
@@ -99,20 +112,20 @@
             + "".join(f"\n       {what}" for what in (*result.broken[:5], *result.faults[:5])),
             err=as_json,
         )
-    if lost is not None and chart is not None:
+    if power_loss is not None and chart is not None:
         from yewlab.charts import draw_return
 
-        draw_return(lost.ours.answered, lost.theirs.answered, lost.figures(), chart)
+        draw_return(power_loss.ours.answered, power_loss.theirs.answered, power_loss.figures(), chart)
     figures = {result.day: result.figures() for result in results}
-    if lost is not None:
-        figures[POWER] = lost.figures()
-        typer.echo(f"{POWER:<6} {lost.figures()}", err=as_json)
-        for what in (*lost.ours.broken[:5], *lost.ours.faults[:5]):
+    if power_loss is not None:
+        figures[POWER] = power_loss.figures()
+        typer.echo(f"{POWER:<6} {power_loss.figures()}", err=as_json)
+        for what in (*power_loss.ours.broken[:5], *power_loss.ours.faults[:5]):
             typer.echo(f"       {what}", err=as_json)
     if as_json:
         typer.echo(json.dumps(figures))
-    hold = all(result.holds for result in results) and (lost is None or lost.holds)
-    raise typer.Exit(0 if hold else 1)
+    all_hold = all(result.holds for result in results) and (power_loss is None or power_loss.holds)
+    raise typer.Exit(0 if all_hold else 1)
 
 
 @lab.command()
@@ -121,7 +134,7 @@
     acts: Annotated[int, typer.Option(min=1, max=6, help="Drains and upgrades of each router.")] = 4,
     as_json: Annotated[bool, typer.Option("--json", help="One JSON object at the end.")] = False,
 ) -> None:
-    """Drain and upgrade real router processes under load, with faults; exit 1 if something is lost."""
+    """Drain and upgrade router processes under load, with faults; exit 1 if a check fails."""
     from yewlab.processes.operate import experiment
 
     result = experiment(seed, acts=acts)
@@ -134,10 +147,10 @@
 @lab.command()
 def soak(
     first: Annotated[int, typer.Option(help="The first seed.")] = 1,
-    seeds: Annotated[int, typer.Option(min=1, help="How many seeds, one after another.")] = 1,
-    faults: Annotated[int, typer.Option(min=1, help="Faults in each seed's script.")] = 5,
+    seeds: Annotated[int, typer.Option(min=1, help="Number of seeds, run in sequence.")] = 1,
+    faults: Annotated[int, typer.Option(min=1, help="Faults per seed.")] = 5,
 ) -> None:
-    """Play faults by chance on real router processes; exit 1 if a rule is broken or a request unanswered."""
+    """Inject random faults into router processes; exit 1 if a rule is broken or a request unanswered."""
     from yewlab.processes.soak import play
 
     holds = True
@@ -156,11 +169,11 @@
 @lab.command()
 def power(
     seed: Seed = 1,
-    fault: Annotated[list[str] | None, typer.Option(help="A fault's name; may be repeated.")] = None,
+    fault: Annotated[list[str] | None, typer.Option(help="Name of a fault; may be repeated.")] = None,
     as_json: Annotated[bool, typer.Option("--json", help="One JSON object at the end.")] = False,
 ) -> None:
-    """Cut the power of agent, routers, workers and register at once, with the recovery and without; exit 1 if
-    a rule is broken or the recovery brings nothing."""
+    """Simulate a power loss of agent, routers, workers and register, with recovery and without; exit 1 if a
+    rule is broken or recovery brings no gain."""
     from yewlab.processes.power import FAULTS, experiment
 
     if unknown := [name for name in fault or [] if name not in FAULTS]:
@@ -174,10 +187,12 @@
 
 @lab.command()
 def replace(
-    way: Annotated[list[str] | None, typer.Option(help="May be repeated. All without.")] = None,
+    way: Annotated[
+        list[str] | None, typer.Option(help="Way of replacing; may be repeated. Default: all.")
+    ] = None,
     seed: Seed = 1,
 ) -> None:
-    """Replace every router of a small fleet in turn, under load, and print what each way of it costs."""
+    """Replace each router of a small fleet in turn, under load, and print the cost of each way to do it."""
     from yewlab.processes.replace import WAYS, measure
 
     if unknown := [name for name in way or [] if name not in WAYS]:
--- a/yewhook/config.py
+++ b/yewhook/config.py
@@ -1,4 +1,4 @@
-"""What a router is told at its start, checked once; every complaint is one plain sentence."""
+"""Configuration of a router, checked when it is read. Each error is one sentence for the operator."""
 
 from __future__ import annotations
 
@@ -15,70 +15,79 @@
 
 
 class ConfigError(Exception):
-    """What is wrong with a configuration, for the person who wrote it."""
+    """A configuration is invalid; the message is for its author."""
 
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host, port
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The names of the settings, whose places the module works with."""
+    """Names from the settings. The decision module refers to each by its index in the tuple."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    kinds: tuple[str, ...]  # of workers
     columns: tuple[str, ...]  # of load reports
 
 
-MOST_SOCKETS, MOST_MEMORY_MB = 1024, 192  # whatever more the platform would allow
-LEAST_SOCKETS, LEAST_MEMORY_MB = 32, 16  # with fewer descriptors no client gets in; with less it can't start
+# Upper bounds of the configured limits, even if the platform allows more.
+MAX_SOCKETS = 1024
+MAX_MEMORY_MB = 192
+# Lower bounds of the configured limits.
+MIN_SOCKETS = 32  # with fewer descriptors no client connection is accepted
+MIN_MEMORY_MB = 16  # with less the process cannot start
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    sockets: int = MOST_SOCKETS
-    memory: int = MOST_MEMORY_MB << 20  # bytes
+    """Resources that a router may use."""
+
+    sockets: int = MAX_SOCKETS
+    memory: int = MAX_MEMORY_MB << 20  # bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The checked configuration of a router."""
+
     name: str
     listen: Address
     discovery: Address
-    seed: int
+    seed: int  # of random choices
     settings: Settings
     names: Names
     limits: Limits
-    connect_timeout: float
-    idle_limit: float  # s after which a worker closes an idle connection
-    known_workers: dict[str, Any]  # the list of workers as last held, in discovery's form
-    peer_listen: Address | None = None  # where messages of other routers arrive
-    peers: tuple[Address, ...] = ()  # whence each router's messages come, in the order of their numbers
-    peer_broadcast: Address | None = None  # where a message goes that is for all of them
-    mgmt: Address | None = None  # where operators call
-    accept_fd: int | None = None  # the clients' listening socket, where the platform holds it
+    connect_timeout: float  # seconds
+    idle_limit: float  # seconds after which a worker closes an idle connection
+    known_workers: dict[str, Any]  # last known list of workers, in the form of a discovery message
+    peer_listen: Address | None = None  # receives the messages of other routers
+    peers: tuple[Address, ...] = ()  # source address of each router's messages, indexed by router number
+    peer_broadcast: Address | None = None  # destination of messages to all routers
+    mgmt: Address | None = None  # listen address of the operators' endpoint
+    accept_fd: int | None = None  # listening socket for clients, if inherited from the platform
 
 
 def parse_address(text: Any, what: str) -> Address:
+    """Parse `host:port`; `what` names the setting in the error. Raises ConfigError."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ConfigError(f"{what}: expected host:port, got {text!r}")
     return host, int(port)
 
 
-def _limit(path: str, limits: Mapping[str, Any], key: str, least: int, most: int) -> int:
-    """A limit of the platform's, as far as it is used; none given = the most."""
+def _limit(path: str, limits: Mapping[str, Any], key: str, minimum: int, maximum: int) -> int:
+    """A limit of the platform, capped at `maximum`, which is also the default. Raises ConfigError."""
     if (value := limits.get(key)) is None:
-        return most
-    if isinstance(value, bool) or not isinstance(value, int | float) or value < least:
-        raise ConfigError(f"{path}: limits.{key} = {value!r}: expected a number of at least {least}")
-    return min(int(value), most)
+        return maximum
+    if isinstance(value, bool) or not isinstance(value, int | float) or value < minimum:
+        raise ConfigError(f"{path}: limits.{key} = {value!r}: expected a number of at least {minimum}")
+    return min(int(value), maximum)
 
 
 def _descriptor(text: str) -> int:
-    """A descriptor that the process has inherited."""
+    """The number of an inherited file descriptor. Raises ConfigError unless it is open."""
     if not text.isdigit():
         raise ConfigError(f"PROXY_ACCEPT_FD: expected the number of a descriptor, got {text!r}")
     try:
@@ -90,13 +99,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TomlTable:
-    """A table of a TOML file, whose values are checked as they are taken out."""
+    """A table of a TOML file; its methods check values and raise ConfigError."""
 
     path: Path
     raw: dict[str, Any]
 
     @classmethod
     def parse(cls, path: Path, raw: Any, keys: Set[str], where: str = "") -> TomlTable:
+        """Check that `raw` is a table with known keys only; `where` is appended to errors."""
         if not isinstance(raw, dict):
             raise ConfigError(f"{path}: expected a table{where}")
         if unknown := raw.keys() - keys:
@@ -104,15 +114,17 @@
         return cls(path, raw)
 
     def text(self, key: str) -> str:
+        """A required, non-empty string."""
         if not isinstance(self.raw.get(key), str) or not self.raw[key]:
-            raise ConfigError(f"{self.path}: {key} must be a text")
+            raise ConfigError(f"{self.path}: {key} must be a non-empty string")
         return str(self.raw[key])
 
     def file(self, key: str) -> Path:
-        """A path, which starts from the file's folder."""
+        """A path relative to the folder of the file."""
         return self.path.parent / self.text(key)
 
     def positive(self, key: str, default: float) -> float:
+        """A number above 0."""
         value = self.raw.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
             raise ConfigError(f"{self.path}: {key} must be a number above 0")
@@ -120,6 +132,7 @@
 
 
 def read_toml(path: Path) -> dict[str, Any]:
+    """Read a TOML file. Raises ConfigError."""
     try:
         return tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
@@ -127,6 +140,7 @@
 
 
 def names(env: Mapping[str, Any]) -> Names:
+    """The names in the settings, in the order of the decision module's indices."""
     return Names(
         tuple(str(c["name"]) for c in env["classes"]),
         tuple(str(t["name"]) for t in env.get("customers") or []),
@@ -137,7 +151,7 @@
 
 
 def parse_settings(env: Mapping[str, Any]) -> tuple[Settings, Names]:
-    """The module's settings and the names they go by."""
+    """The settings of the decision module, and the names in them. Raises ConfigError."""
     try:
         return wire.settings(dict(env)), names(env)
     except wire.SettingError as error:
@@ -147,8 +161,11 @@
 
 
 def read(environ: Mapping[str, str], reload: bool = False) -> Config:
-    """The configuration; `reload` = in a running process, where the file may name a newer discovery than the
-    environment, which is as old as the process."""
+    """Read the configuration file that PROXY_CONFIG names, and the environment. Raises ConfigError.
+
+    The environment takes precedence over the file. With `reload` the file does for the address of discovery:
+    the environment of a running process keeps the values from its start.
+    """
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG is not set: it names the JSON file with the configuration")
@@ -164,8 +181,8 @@
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from error
     caps = env.get("caps") or {}
-    told = environ.get("PROXY_DISCOVERY")
-    discovery = (raw.get("discovery") or told) if reload else (told or raw.get("discovery"))
+    env_discovery = environ.get("PROXY_DISCOVERY")
+    discovery = (raw.get("discovery") or env_discovery) if reload else (env_discovery or raw.get("discovery"))
     limits = raw.get("limits") or {}
     mgmt, accept_fd = environ.get("PROXY_MGMT") or raw.get("mgmt"), environ.get("PROXY_ACCEPT_FD")
     try:
@@ -177,8 +194,8 @@
             settings=settings,
             names=known_names,
             limits=Limits(
-                _limit(path, limits, "sockets", LEAST_SOCKETS, MOST_SOCKETS),
-                _limit(path, limits, "memory_mb", LEAST_MEMORY_MB, MOST_MEMORY_MB) << 20,
+                _limit(path, limits, "sockets", MIN_SOCKETS, MAX_SOCKETS),
+                _limit(path, limits, "memory_mb", MIN_MEMORY_MB, MAX_MEMORY_MB) << 20,
             ),
             connect_timeout=float(caps.get("connect-timeout-ms") or 250.0) / 1000.0,
             idle_limit=float(caps.get("conn-idle-ms") or 30000.0) / 1000.0,
--- a/yewhook/log.py
+++ b/yewhook/log.py
@@ -1,5 +1,4 @@
-"""Log lines on standard error, on the standard library's `logging`: one event a line, each only so often in a
-while."""
+"""Logging to standard error by the standard library's `logging`: one event per line, rate limited."""
 
 from __future__ import annotations
 
@@ -10,32 +9,35 @@
 from enum import Enum
 from typing import Any
 
-BURST, SPAN = 10, 10.0  # lines of one event in so many seconds
+BURST = 10  # lines of one event per SPAN
+SPAN = 10.0  # seconds
 
 
 class LogFormat(Enum):
-    CONSOLE = "console"  # for people
-    JSON = "json"  # one object a line, for what collects logs
+    """Format of the log lines; the values are those of the operators' file."""
+
+    CONSOLE = "console"  # readable text
+    JSON = "json"  # one object per line, for log collectors
 
 
 @dataclass(slots=True)
 class _Window:
-    since: float
+    started_at: float
     lines: int = 0
     dropped: int = 0
 
 
 class RateLimit:
-    """Lets of each event only so many lines through; the next one after that says how many were left out."""
+    """Limits each event to BURST lines per SPAN and counts the lines left out."""
 
     def __init__(self) -> None:
         self._windows: dict[str, _Window] = {}
 
     def left_out(self, event: str) -> int | None:
-        """How many lines were left out before this one; None where it is to be left out, too."""
+        """The number of lines left out before this one; None if this one is to be left out as well."""
         now = time.monotonic()
         window, dropped = self._windows.get(event), 0
-        if window is None or now - window.since > SPAN:
+        if window is None or now - window.started_at > SPAN:
             dropped = window.dropped if window else 0
             window = self._windows[event] = _Window(now)
         window.lines += 1
@@ -45,10 +47,13 @@
         return dropped
 
 
-class Console(logging.Formatter):
+class ConsoleFormatter(logging.Formatter):
+    """Formats a line as time (UTC), router, event and detail."""
+
     converter = staticmethod(time.gmtime)
 
     def format(self, record: logging.LogRecord) -> str:
+        """Format one line, with the number of lines left out before it."""
         detail, left_out = record.__dict__.get("detail", ""), record.__dict__.get("left_out", 0)
         if left_out:
             detail += f" ({left_out} lines like this were left out)"
@@ -56,10 +61,10 @@
         return f"{stamp} {record.name} {record.msg}{': ' + detail if detail else ''}"
 
 
-def _formatter(form: LogFormat) -> logging.Formatter:
-    if form is LogFormat.CONSOLE:
-        return Console()
-    from pythonjsonlogger.json import JsonFormatter  # only those who ask for JSON pay for it
+def _formatter(log_format: LogFormat) -> logging.Formatter:
+    if log_format is LogFormat.CONSOLE:
+        return ConsoleFormatter()
+    from pythonjsonlogger.json import JsonFormatter  # costs memory, so it is loaded only if used
 
     return JsonFormatter(
         "%(name)s %(message)s",
@@ -68,8 +73,8 @@
     )
 
 
-class _Stderr(logging.StreamHandler[Any]):
-    """Writes to what standard error is at the time."""
+class _StderrHandler(logging.StreamHandler[Any]):
+    """Writes to the current `sys.stderr`, which may have been replaced since the handler was created."""
 
     def emit(self, record: logging.LogRecord) -> None:
         self.stream = sys.stderr
@@ -77,26 +82,29 @@
 
 
 class Log:
-    """`event` names what happened, in fixed words that the on-call page lists; `detail` says the rest, and
-    `figures` are what machines read of it."""
+    """The log of one router.
+
+    Call it with an `event`, a fixed text that the on-call page lists, a free-form `detail`, and `figures`:
+    values that become fields of their own in the JSON format.
+    """
 
-    def __init__(self, name: str, form: LogFormat = LogFormat.CONSOLE, detailed: bool = False) -> None:
-        """`detailed` = write each step of each request, too, and every line of each event."""
+    def __init__(self, name: str, log_format: LogFormat = LogFormat.CONSOLE, detailed: bool = False) -> None:
+        """`detailed`: log each step of each request, without a rate limit."""
         self.name, self.detailed = name, detailed
-        self._handler, self._limit = _Stderr(), RateLimit()
-        self.set_format(form)
+        self._handler, self._limit = _StderrHandler(), RateLimit()
+        self.set_format(log_format)
 
-    def set_format(self, form: LogFormat) -> None:
-        """Write in this form from now on."""
-        self._handler.setFormatter(_formatter(form))
+    def set_format(self, log_format: LogFormat) -> None:
+        """Change the format of all further lines."""
+        self._handler.setFormatter(_formatter(log_format))
 
     def __call__(self, event: str, detail: str = "", **figures: object) -> None:
-        # Bad clients cause lines by the hundred: one that is left out must cost next to nothing, and a
-        # logger's own way to a record walks the stack first.
+        # Misbehaving clients cause hundreds of lines, so one that is left out must be cheap. The record is
+        # created here because `logging.Logger` inspects the stack for each one.
         left_out = 0 if self.detailed else self._limit.left_out(event)
         if left_out is None:
             return
         record = logging.LogRecord(self.name, logging.INFO, "", 0, event, None, None)
-        told = {"detail": detail} if detail else {}
-        record.__dict__.update(told | figures | ({"left_out": left_out} if left_out else {}))
+        fields = {"detail": detail} if detail else {}
+        record.__dict__.update(fields | figures | ({"left_out": left_out} if left_out else {}))
         self._handler.handle(record)
--- a/yewhook/toolcalls/config.py
+++ b/yewhook/toolcalls/config.py
@@ -57,5 +57,5 @@
     except (OSError, ValueError) as error:
         raise ConfigError(f"{path}: {error}") from error
     if not isinstance(content, dict):
-        raise ConfigError(f"{path}: expected an object")
+        raise ConfigError(f"{path}: expected a JSON object")
     return parse_settings(content)
--- a/yewhook/transient_errors.py
+++ b/yewhook/transient_errors.py
@@ -1,7 +1,7 @@
-"""Calls that fail because the machine is short of files or buffers just now: they are worth another try.
+"""Retries of calls that fail because the machine is short of file descriptors, buffers or memory.
 
-A process that gives up at its start over one of them serves nobody, and one that refuses a configuration over
-one goes on by the old one.
+Without retries such an error would end a process at its start, and make a running one keep its old
+configuration.
 """
 
 from __future__ import annotations
@@ -17,11 +17,12 @@
 TRANSIENT_ERRNOS = frozenset(
     {errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR}
 )
-RETRY_INTERVAL_S, RETRY_TIMEOUT_S = 0.05, 5.0  # s between tries, and for all of them
+RETRY_INTERVAL_S = 0.05
+RETRY_TIMEOUT_S = 5.0  # for all retries of one call
 
 
 def is_transient(error: BaseException | None) -> bool:
-    """Whether a call failed for want of something that may be there in a moment."""
+    """Whether an error, or the cause of a ConfigError, is a temporary lack of resources."""
     cause = error.__cause__ if isinstance(error, ConfigError) else error
     return isinstance(cause, OSError) and cause.errno in TRANSIENT_ERRNOS
 
@@ -31,15 +32,15 @@
     clock: Callable[[], float] = time.monotonic,
     sleep: Callable[[float], None] = time.sleep,
 ) -> T:
-    """Call again while it fails for want of something, for some s. It blocks: for a process's start only.
+    """Repeat a call while it fails with a transient error, for up to RETRY_TIMEOUT_S.
 
-    Raises what the call raises.
+    It blocks, so it is only for the start of a process. Raises what the call raises.
     """
-    end = clock() + RETRY_TIMEOUT_S
+    give_up_at = clock() + RETRY_TIMEOUT_S
     while True:
         try:
             return call()
         except (OSError, ConfigError) as error:
-            if not is_transient(error) or clock() >= end:
+            if not is_transient(error) or clock() >= give_up_at:
                 raise
         sleep(RETRY_INTERVAL_S)
