--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What several files of tests stand on."""
+"""Fixtures and plugins shared by several test files."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 
 @pytest.fixture
 def p() -> Iterator[Platform]:
+    """A router of the platform with the workers of FLEET."""
     platform = Platform(FLEET)
     yield platform
     platform.end()
@@ -20,6 +21,7 @@
 
 @pytest.fixture
 def wide() -> Iterator[Platform]:
+    """A router of the platform with one more reader and one more writer."""
     platform = Platform(FLEET | {"reader2": "prefill", "writer2": "decode"})
     yield platform
     platform.end()
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports between the project's modules run one way: no cycles, and the product never imports the lab."""
+"""Dependencies between the project's modules: no import cycles, and the product does not import yewlab."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 
 
 def modules() -> dict[str, Path]:
+    """The paths of all modules by dotted name."""
     found = {}
     for package in PACKAGES:
         for path in sorted((ROOT / package).rglob("*.py")):
@@ -26,7 +27,7 @@
 
 
 def imports(name: str) -> set[str]:
-    """The project's modules that one imports as it is loaded, not in functions or for types alone."""
+    """The modules of the project that a module imports when it is loaded (not in functions or for types)."""
     path = MODULES[name]
     package = name if path.name == "__init__.py" else name.rpartition(".")[0]
     found = set()
@@ -35,40 +36,42 @@
             found |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
             origin = resolve_name("." * node.level + (node.module or ""), package)
-            names = [f"{origin}.{alias.name}" for alias in node.names]
-            found |= {one if one in MODULES else origin for one in names}
-    return {one for one in found if one in MODULES and one != name}
+            candidates = [f"{origin}.{alias.name}" for alias in node.names]
+            found |= {candidate if candidate in MODULES else origin for candidate in candidates}
+    return {module for module in found if module in MODULES and module != name}
 
 
-def graph() -> dict[str, set[str]]:
+def import_graph() -> dict[str, set[str]]:
+    """The imports of each module."""
     return {name: imports(name) for name in MODULES}
 
 
-def cycle(imported: dict[str, set[str]]) -> list[str] | None:
+def find_cycle(graph: dict[str, set[str]]) -> list[str] | None:
+    """The modules of one import cycle, if there is any."""
     try:
-        TopologicalSorter(imported).prepare()
+        TopologicalSorter(graph).prepare()
     except CycleError as error:
         return list(error.args[1])
     return None
 
 
-def test_no_two_modules_import_each_other_by_whatever_way() -> None:
-    assert cycle(graph()) is None
+def test_there_are_no_import_cycles() -> None:
+    assert find_cycle(import_graph()) is None
 
 
-def test_a_cycle_is_found() -> None:
-    imported = graph()
-    assert "hopshed.state" in imported["hopshed.control"]
-    imported["hopshed.state"].add("hopshed.control")
-    found = cycle(imported)
-    assert found is not None and {"hopshed.state", "hopshed.control"} <= set(found)
+def test_an_import_cycle_is_detected() -> None:
+    graph = import_graph()
+    assert "hopshed.state" in graph["hopshed.control"]
+    graph["hopshed.state"].add("hopshed.control")
+    cycle = find_cycle(graph)
+    assert cycle is not None and {"hopshed.state", "hopshed.control"} <= set(cycle)
 
 
 @pytest.mark.parametrize(
-    ("package", "others"), [("hopshed", ("yewhook", "yewlab")), ("yewhook", ("yewlab",))]
+    ("package", "forbidden"), [("hopshed", ("yewhook", "yewlab")), ("yewhook", ("yewlab",))]
 )
-def test_packages_depend_one_way(package: str, others: tuple[str, ...]) -> None:
+def test_packages_depend_one_way(package: str, forbidden: tuple[str, ...]) -> None:
     own = [name for name in MODULES if name.split(".")[0] == package]
     assert own
     for name in own:
-        assert not {one for one in imports(name) if one.split(".")[0] in others}, name
+        assert not {module for module in imports(name) if module.split(".")[0] in forbidden}, name
