--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -26,6 +26,7 @@
 
 
 def chat_request(id: str = "1", lane: str = "service-log", left: str = "9000", **more: str) -> bytes:
+    """A request of class `lane` whose client waits `left` milliseconds; `more` adds parameters."""
     params = {"class": lane, "tenant": "acme", "session": "s1", "patienceMs": int(left), "promptTokens": 900}
     return message(id=int(id), method="chat/completions", params=params | more)
 
@@ -90,15 +91,17 @@
 
 
 @pytest.fixture
-def t(tmp_path: Path) -> Iterator[ToolCalls]:
-    play = ToolCalls(tmp_path)
-    yield play
-    play.end()
+def scenario(tmp_path: Path) -> Iterator[ToolCalls]:
+    toolcalls = ToolCalls(tmp_path)
+    yield toolcalls
+    toolcalls.end()
 
 
-def ran_once(t: ToolCalls) -> bool:
+def ran_once(scenario: ToolCalls) -> bool:
     """Whether the writer got exactly one attempt, and the router has no request open."""
-    return t.parties["writer"].heard.count("chat/completions") == 1 and not t.front.router.requests
+    return (
+        scenario.parties["writer"].heard.count("chat/completions") == 1 and not scenario.front.router.requests
+    )
 
 
 STREAM_STARTED = """
@@ -119,8 +122,8 @@
 )
 
 
-def test_a_tool_call_is_relayed_within_the_stream_in_order(t: ToolCalls) -> None:
-    t.play(
+def test_a_tool_call_is_relayed_within_the_stream_in_order(scenario: ToolCalls) -> None:
+    scenario.play(
         TOOL_CALLED
         + """
         tool send found
@@ -132,15 +135,15 @@
         client expect {"jsonrpc":"2.0","id":1,"result":{"status":"served"}}
     """
     )
-    assert not t.front.router.requests
+    assert not scenario.front.router.requests
     # A second request reuses the connections: nothing of the first exchange is left on them.
-    t.play("client send ask id=2\nreader expect chat\nreader send read id=2\nwriter expect chat")
-    t.play('writer send event text=x\nwriter send served id=2\nclient expect "id":2,"result"')
-    assert [t.parties[n].connections for n in ("reader", "writer", "tool")] == [1, 1, 1]
+    scenario.play("client send ask id=2\nreader expect chat\nreader send read id=2\nwriter expect chat")
+    scenario.play('writer send event text=x\nwriter send served id=2\nclient expect "id":2,"result"')
+    assert [scenario.parties[n].connections for n in ("reader", "writer", "tool")] == [1, 1, 1]
 
 
 @pytest.mark.parametrize(
-    ("trouble", "code"),
+    ("failure", "code"),
     [
         ("wait 2.1", -32003),  # the tool does not answer
         ("tool send error id=1 code=-32603", -32005),
@@ -149,12 +152,12 @@
     ],
 )
 def test_a_failed_tool_call_is_reported_and_the_stream_continues(
-    t: ToolCalls, trouble: str, code: int
+    scenario: ToolCalls, failure: str, code: int
 ) -> None:
-    t.play(
+    scenario.play(
         TOOL_CALLED
         + f"""
-        {trouble}
+        {failure}
         writer expect "id":7,"error":{{"code":{code}
         client expect "method":"notifications/tool_result"
         writer send event text=sorry
@@ -163,39 +166,43 @@
         client expect "id":1,"result"
     """
     )
-    assert t.parties["writer"].connections == t.parties["tool"].connections == 1
+    assert scenario.parties["writer"].connections == scenario.parties["tool"].connections == 1
 
 
 @pytest.mark.parametrize("code", [-32003, -32004, -32005])
-def test_a_worker_that_fails_over_a_tool_gives_one_answer_with_its_code(t: ToolCalls, code: int) -> None:
-    t.play(TOOL_CALLED + f"tool reset\nwriter expect error\nwriter send error id=1 code={code}")
-    t.play(f'client expect "id":1,"error":{{"code":{code}\nwait 1')
+def test_a_worker_that_fails_over_a_tool_gives_one_answer_with_its_code(
+    scenario: ToolCalls, code: int
+) -> None:
+    scenario.play(TOOL_CALLED + f"tool reset\nwriter expect error\nwriter send error id=1 code={code}")
+    scenario.play(f'client expect "id":1,"error":{{"code":{code}\nwait 1')
     # The class service-log is unsafe: the request must not run again, though its stream failed.
-    assert ran_once(t)
-    assert '"id":1' not in t.parties["client"].text
+    assert ran_once(scenario)
+    assert '"id":1' not in scenario.parties["client"].text
 
 
-def test_an_unknown_tool_is_reported_at_once(t: ToolCalls) -> None:
-    t.play(STREAM_STARTED + 'writer send call tool=magic\nwriter expect "id":7,"error":{"code":-32004')
-    assert t.parties["tool"].connections == 0
+def test_an_unknown_tool_is_reported_at_once(scenario: ToolCalls) -> None:
+    scenario.play(STREAM_STARTED + 'writer send call tool=magic\nwriter expect "id":7,"error":{"code":-32004')
+    assert scenario.parties["tool"].connections == 0
 
 
-def test_an_unreachable_tool_server_is_skipped(t: ToolCalls) -> None:
-    t.parties["tool2"] = FakePeer()
-    t.publish("reader", "writer", "tool", "tool2")
-    t.play("tool close listening\nwait 0.6\n" + STREAM_STARTED + "writer send call\ntool2 expect tools/call")
-    t.play("tool2 send found\nwriter expect replaced")
+def test_an_unreachable_tool_server_is_skipped(scenario: ToolCalls) -> None:
+    scenario.parties["tool2"] = FakePeer()
+    scenario.publish("reader", "writer", "tool", "tool2")
+    scenario.play(
+        "tool close listening\nwait 0.6\n" + STREAM_STARTED + "writer send call\ntool2 expect tools/call"
+    )
+    scenario.play("tool2 send found\nwriter expect replaced")
 
 
-def test_a_tool_call_that_may_have_run_is_not_retried(t: ToolCalls) -> None:
-    t.parties["tool2"] = FakePeer()
-    t.publish("reader", "writer", "tool", "tool2")
-    t.play("wait 0.6\n" + TOOL_CALLED + 'tool reset\nwriter expect "code":-32004')
-    assert t.parties["tool2"].connections == 0
+def test_a_tool_call_that_may_have_run_is_not_retried(scenario: ToolCalls) -> None:
+    scenario.parties["tool2"] = FakePeer()
+    scenario.publish("reader", "writer", "tool", "tool2")
+    scenario.play("wait 0.6\n" + TOOL_CALLED + 'tool reset\nwriter expect "code":-32004')
+    assert scenario.parties["tool2"].connections == 0
 
 
-def test_late_and_duplicate_tool_responses_are_ignored(t: ToolCalls) -> None:
-    t.play(
+def test_late_and_duplicate_tool_responses_are_ignored(scenario: ToolCalls) -> None:
+    scenario.play(
         TOOL_CALLED
         + """
         wait 2.1
@@ -214,12 +221,12 @@
         wait 0.1
     """
     )
-    told = t.parties["writer"].text + t.parties["client"].text
+    told = scenario.parties["writer"].text + scenario.parties["client"].text
     assert "late" not in told and "twice" not in told
 
 
-def test_a_client_that_disconnects_cancels_its_call_at_worker_and_tool(t: ToolCalls) -> None:
-    t.play(
+def test_a_client_that_disconnects_cancels_its_call_at_worker_and_tool(scenario: ToolCalls) -> None:
+    scenario.play(
         TOOL_CALLED
         + """
         client close
@@ -230,57 +237,63 @@
         wait 1
     """
     )
-    assert not t.front.router.requests and t.parties["writer"].connections == 1
+    assert not scenario.front.router.requests and scenario.parties["writer"].connections == 1
 
 
-def test_a_cancelled_request_gets_no_answer_and_the_connection_stays_open(t: ToolCalls) -> None:
-    t.play(TOOL_CALLED + "client send cancel id=1\nwriter expect cancelled\ntool expect cancelled\nwait 0.1")
-    assert '"id":1' not in t.parties["client"].text
-    t.play('client send method name=ping\nclient expect "id":5,"result":{}')
+def test_a_cancelled_request_gets_no_answer_and_the_connection_stays_open(scenario: ToolCalls) -> None:
+    scenario.play(
+        TOOL_CALLED + "client send cancel id=1\nwriter expect cancelled\ntool expect cancelled\nwait 0.1"
+    )
+    assert '"id":1' not in scenario.parties["client"].text
+    scenario.play('client send method name=ping\nclient expect "id":5,"result":{}')
 
 
-def test_a_call_cancelled_by_its_worker_is_cancelled_at_the_tool(t: ToolCalls) -> None:
-    t.play(TOOL_CALLED + "writer send cancel id=7\ntool expect cancelled\nclient expect tool_result")
-    t.play('writer send event text=x\nwriter send served\nclient expect "id":1,"result"')
+def test_a_call_cancelled_by_its_worker_is_cancelled_at_the_tool(scenario: ToolCalls) -> None:
+    scenario.play(TOOL_CALLED + "writer send cancel id=7\ntool expect cancelled\nclient expect tool_result")
+    scenario.play('writer send event text=x\nwriter send served\nclient expect "id":1,"result"')
 
 
 @pytest.mark.parametrize("how", ["reset", "close"])
-def test_a_worker_lost_during_a_call_ends_the_stream_once(t: ToolCalls, how: str) -> None:
-    t.play(TOOL_CALLED + f'writer {how}\nclient expect "id":1,"error":{{"code":-32006')
-    t.play("tool expect cancelled\nwait 1")
-    assert ran_once(t) and '"id":1' not in t.parties["client"].text
+def test_a_worker_lost_during_a_call_ends_the_stream_once(scenario: ToolCalls, how: str) -> None:
+    scenario.play(TOOL_CALLED + f'writer {how}\nclient expect "id":1,"error":{{"code":-32006')
+    scenario.play("tool expect cancelled\nwait 1")
+    assert ran_once(scenario) and '"id":1' not in scenario.parties["client"].text
 
 
-def test_the_stream_of_a_silent_worker_is_aborted(t: ToolCalls) -> None:
-    t.play(STREAM_STARTED + 'wait 5.2\nclient expect "id":1,"error":{"code":-32006\nwriter expect cancelled')
+def test_the_stream_of_a_silent_worker_is_aborted(scenario: ToolCalls) -> None:
+    scenario.play(
+        STREAM_STARTED + 'wait 5.2\nclient expect "id":1,"error":{"code":-32006\nwriter expect cancelled'
+    )
 
 
-def test_a_refused_request_gets_retry_after(t: ToolCalls) -> None:
-    t.play("reader close listening\nclient send ask")
-    t.play('client expect "id":1,"error":{"code":-32001\nclient expect "retry_after":0.')
+def test_a_refused_request_gets_retry_after(scenario: ToolCalls) -> None:
+    scenario.play("reader close listening\nclient send ask")
+    scenario.play('client expect "id":1,"error":{"code":-32001\nclient expect "retry_after":0.')
 
 
-def test_an_unsafe_request_fails_when_its_writer_is_lost_before_the_stream(t: ToolCalls) -> None:
-    t.play("client send ask\nreader expect chat\nreader send read\nwriter expect chat\nwriter reset")
-    t.play('client expect "id":1,"error":{"code":-32002\nwait 1')
-    assert ran_once(t)
+def test_an_unsafe_request_fails_when_its_writer_is_lost_before_the_stream(scenario: ToolCalls) -> None:
+    scenario.play("client send ask\nreader expect chat\nreader send read\nwriter expect chat\nwriter reset")
+    scenario.play('client expect "id":1,"error":{"code":-32002\nwait 1')
+    assert ran_once(scenario)
 
 
-def test_a_request_without_a_stream_ends_at_its_deadline(t: ToolCalls) -> None:
-    t.play("client send ask left=800\nreader expect chat\nreader send read\nwriter expect chat\nwait 0.8")
-    t.play('client expect "id":1,"error"\nwriter expect cancelled')
+def test_a_request_without_a_stream_ends_at_its_deadline(scenario: ToolCalls) -> None:
+    scenario.play(
+        "client send ask left=800\nreader expect chat\nreader send read\nwriter expect chat\nwait 0.8"
+    )
+    scenario.play('client expect "id":1,"error"\nwriter expect cancelled')
 
 
-def test_a_client_that_leaves_during_the_read_releases_the_state(t: ToolCalls) -> None:
-    t.play("client send ask\nreader expect chat\nclient close\nreader expect cancelled")
-    t.play('writer expect "method":"reservations/release"\nwriter send ok')
-    t.until(lambda: not t.front.busy, "all state released")
+def test_a_client_that_leaves_during_the_read_releases_the_state(scenario: ToolCalls) -> None:
+    scenario.play("client send ask\nreader expect chat\nclient close\nreader expect cancelled")
+    scenario.play('writer expect "method":"reservations/release"\nwriter send ok')
+    scenario.until(lambda: not scenario.front.busy, "all state released")
 
 
-def test_a_tool_call_of_a_reader_is_rejected(t: ToolCalls) -> None:
-    t.play("client send ask\nreader expect chat\nreader send call")
-    t.play('reader expect "id":7,"error":{"code":-32600')
-    assert t.parties["tool"].connections == 0
+def test_a_tool_call_of_a_reader_is_rejected(scenario: ToolCalls) -> None:
+    scenario.play("client send ask\nreader expect chat\nreader send call")
+    scenario.play('reader expect "id":7,"error":{"code":-32600')
+    assert scenario.parties["tool"].connections == 0
 
 
 @pytest.mark.parametrize(
@@ -296,53 +309,55 @@
         ("raw text=" + "x" * 600_000, -32600),
     ],
 )
-def test_malformed_messages_get_standard_json_rpc_errors(t: ToolCalls, saying: str, code: int) -> None:
-    t.play(f'client send {saying}\nclient expect "error":{{"code":{code}')
-    t.play("client2 send method name=ping\nclient2 expect result")
+def test_malformed_messages_get_standard_json_rpc_errors(scenario: ToolCalls, saying: str, code: int) -> None:
+    scenario.play(f'client send {saying}\nclient expect "error":{{"code":{code}')
+    scenario.play("client2 send method name=ping\nclient2 expect result")
 
 
-def test_reusing_an_open_id_does_not_end_the_open_request(t: ToolCalls) -> None:
-    t.play(STREAM_STARTED + 'client send ask\nclient expect "id":null,"error":{"code":-32600')
-    t.play('writer send event text=x\nwriter send served\nclient expect "id":1,"result"')
+def test_reusing_an_open_id_does_not_end_the_open_request(scenario: ToolCalls) -> None:
+    scenario.play(STREAM_STARTED + 'client send ask\nclient expect "id":null,"error":{"code":-32600')
+    scenario.play('writer send event text=x\nwriter send served\nclient expect "id":1,"result"')
 
 
-def test_open_requests_finish_during_a_drain(t: ToolCalls) -> None:
-    t.play(TOOL_CALLED)
-    t.sigterm()
-    t.play("wait 0.6\ntool send found\nwriter expect replaced\nwriter send event text=x\nwriter send served")
-    t.play('client expect "id":1,"result"\nclient expect closed')
-    t.until(lambda: t.service.loop.stopped, "the end")
+def test_open_requests_finish_during_a_drain(scenario: ToolCalls) -> None:
+    scenario.play(TOOL_CALLED)
+    scenario.sigterm()
+    scenario.play(
+        "wait 0.6\ntool send found\nwriter expect replaced\nwriter send event text=x\nwriter send served"
+    )
+    scenario.play('client expect "id":1,"result"\nclient expect closed')
+    scenario.until(lambda: scenario.service.loop.stopped, "the end")
 
 
-def test_a_reload_switches_to_other_records(t: ToolCalls) -> None:
-    t.records = t.records.with_name("other.zone")
-    t.publish("writer", "tool")
-    file = t.records.with_name("toolcalls.toml")
+def test_a_reload_switches_to_other_records(scenario: ToolCalls) -> None:
+    scenario.records = scenario.records.with_name("other.zone")
+    scenario.publish("writer", "tool")
+    file = scenario.records.with_name("toolcalls.toml")
     file.write_text(file.read_text().replace("fleet.zone", "other.zone"))
-    t.service.reload()
-    t.play('client send ask\nclient expect "code":-32001')
+    scenario.service.reload()
+    scenario.play('client send ask\nclient expect "code":-32001')
     file.write_text(file.read_text().replace("other.zone", "none.zone"))
-    t.service.reload()
-    assert any("reload refused" in line for line in t.log.lines)
+    scenario.service.reload()
+    assert any("reload refused" in line for line in scenario.log.lines)
 
 
-def test_a_worker_removed_from_the_records_gets_no_new_requests(t: ToolCalls) -> None:
-    t.publish("writer", "tool")
-    t.play('wait 0.6\nclient send ask\nclient expect "code":-32001')
+def test_a_worker_removed_from_the_records_gets_no_new_requests(scenario: ToolCalls) -> None:
+    scenario.publish("writer", "tool")
+    scenario.play('wait 0.6\nclient send ask\nclient expect "code":-32001')
 
 
-def test_an_incomplete_message_times_out(t: ToolCalls) -> None:
+def test_an_incomplete_message_times_out(scenario: ToolCalls) -> None:
     # Without a time limit, a client that sends part of a message would hold its connection forever.
-    t.parties["client"].send(b'{"jsonrpc":')
-    t.play('wait 2.3\nclient expect "error":{"code":-32600\nclient expect closed')
+    scenario.parties["client"].send(b'{"jsonrpc":')
+    scenario.play('wait 2.3\nclient expect "error":{"code":-32600\nclient expect closed')
 
 
-def test_the_connection_of_a_peer_that_does_not_read_is_closed(t: ToolCalls) -> None:
-    client = t.parties["client"]
+def test_the_connection_of_a_peer_that_does_not_read_is_closed(scenario: ToolCalls) -> None:
+    client = scenario.parties["client"]
     client.poll = lambda: None  # type: ignore[method-assign]
     client.send(SAYINGS["method"](name="x" * 100_000))
-    t.turn()
-    peer = next(iter(t.front.clients.connections)).peer
+    scenario.turn()
+    peer = next(iter(scenario.front.clients.connections)).peer
     for n in range(200):
         peer.notify("x" * 100_000, {"n": n})
-    assert peer.channel.closed and peer.channel.unsent == 0 and not t.front.clients.connections
+    assert peer.channel.closed and peer.channel.unsent == 0 and not scenario.front.clients.connections
--- a/yewhook/cli.py
+++ b/yewhook/cli.py
@@ -273,23 +273,23 @@
     raise typer.Exit(0 if show(seconds, typer.echo) else 1)
 
 
-By = Annotated[str, typer.Option("--by", help="Who gives the order, as shown to other operators.")]
+ByOption = Annotated[str, typer.Option("--by", help="Who gives the order, as shown to other operators.")]
 
 
 @app.command()
-def drain(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
+def drain(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: ByOption = "") -> None:
     """Let a router finish its open requests and take no new ones, across restarts, until `resume`."""
     typer.echo(f"{name} {ask_agent(at, 'agent/drain', name=name, by=by or _user())['state']}")
 
 
 @app.command()
-def resume(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
+def resume(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: ByOption = "") -> None:
     """End the drain of a router."""
     typer.echo(f"{name} {ask_agent(at, 'agent/resume', name=name, by=by or _user())['state']}")
 
 
 @app.command()
-def upgrade(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: By = "") -> None:
+def upgrade(name: str, at: AgentOption = DEFAULT_AGENT_ADDRESS, by: ByOption = "") -> None:
     """Start a new process of a router and end the old one once the new one serves."""
     report = ask_agent(at, "agent/upgrade", timeout=UPGRADE_TIMEOUT_S, name=name, by=by or _user())
     typer.echo(f"{name} {report['state']}, pid {report['pid']}")
--- a/yewhook/commands/lab.py
+++ b/yewhook/commands/lab.py
@@ -9,13 +9,13 @@
 import typer
 
 lab = typer.Typer(no_args_is_help=True, help="Experiments and simulations (needs the lab extra).")
-POWER = "power"  # scenario of `lab fleet`: a power loss of the whole fleet, run with recovery and without
-Seed = Annotated[int, typer.Option(min=0, help="The same seed gives the same result.")]
+POWER = "power"  # day of `lab fleet` with a power loss of all parts, run with recovery and without
+SeedOption = Annotated[int, typer.Option(min=0, help="The same seed gives the same result.")]
 
 
 @lab.command()
 def levels(
-    seed: Seed = 1,
+    seed: SeedOption = 1,
     minutes: Annotated[
         float, typer.Option(min=1.0, max=60.0, help="Simulated time at each threshold.")
     ] = 10.0,
@@ -84,9 +84,9 @@
 @lab.command()
 def fleet(
     day: Annotated[
-        list[str] | None, typer.Option(help="Name of a scenario; may be repeated. Default: all.")
+        list[str] | None, typer.Option(help="Name of a day to simulate; may be repeated. Default: all.")
     ] = None,
-    seed: Seed = 1,
+    seed: SeedOption = 1,
     routers: Annotated[int, typer.Option(min=2, max=1000)] = 200,
     workers: Annotated[int, typer.Option(min=5, max=1000)] = 100,
     load: Annotated[float, typer.Option(min=0.1, max=3.0, help="Turns per second and worker.")] = 0.75,
@@ -95,7 +95,7 @@
     ] = None,
     as_json: Annotated[bool, typer.Option("--json", help="One JSON object at the end.")] = False,
 ) -> None:
-    """Simulate scenarios with many routers and check the rules across all of them; exit 1 if one is
+    """Simulate days of many routers on virtual time and check the rules across all of them; exit 1 if one is
     broken."""
     from yewlab.mass import DAYS, play_all
     from yewlab.power import compare
@@ -130,7 +130,7 @@
 
 @lab.command()
 def operate(
-    seed: Seed = 1,
+    seed: SeedOption = 1,
     acts: Annotated[int, typer.Option(min=1, max=6, help="Drains and upgrades of each router.")] = 4,
     as_json: Annotated[bool, typer.Option("--json", help="One JSON object at the end.")] = False,
 ) -> None:
@@ -168,11 +168,11 @@
 
 @lab.command()
 def power(
-    seed: Seed = 1,
+    seed: SeedOption = 1,
     fault: Annotated[list[str] | None, typer.Option(help="Name of a fault; may be repeated.")] = None,
     as_json: Annotated[bool, typer.Option("--json", help="One JSON object at the end.")] = False,
 ) -> None:
-    """Simulate a power loss of agent, routers, workers and register, with recovery and without; exit 1 if a
+    """Cut the power of agent, routers, workers and register at once, with recovery and without; exit 1 if a
     rule is broken or recovery brings no gain."""
     from yewlab.processes.power import FAULTS, experiment
 
@@ -190,7 +190,7 @@
     way: Annotated[
         list[str] | None, typer.Option(help="Way of replacing; may be repeated. Default: all.")
     ] = None,
-    seed: Seed = 1,
+    seed: SeedOption = 1,
 ) -> None:
     """Replace each router of a small fleet in turn, under load, and print the cost of each way to do it."""
     from yewlab.processes.replace import WAYS, measure
--- a/yewhook/jsonrpc.py
+++ b/yewhook/jsonrpc.py
@@ -30,7 +30,7 @@
     INVALID_PARAMS = -32602
     INTERNAL_ERROR = -32603
     REFUSED = -32001  # not served, safe to retry; data.retry_after (seconds) says when
-    FAILED = -32002  # not served; a retry may run the request twice
+    FAILED = -32002  # not served, but it may have run, so a retry may run it twice
     TOOL_TIMED_OUT = -32003  # the tool server did not answer in time
     TOOL_GONE = -32004  # no server offers this tool, or its connection was lost during the call
     TOOL_ERROR = -32005  # the tool server answered with an error
--- a/yewhook/toolcalls/config.py
+++ b/yewhook/toolcalls/config.py
@@ -35,7 +35,7 @@
 def read(path: Path) -> ToolCallsConfig:
     """Read and check a tool-calls file. Raises ConfigError."""
     table = TomlTable.parse(path, read_toml(path), KEYS)
-    settings, names = _settings(table.file("settings"))
+    settings, names = _read_settings(table.file("settings"))
     return ToolCallsConfig(
         listen=parse_address(table.text("listen"), f"{path}: listen"),
         records=table.file("records"),
@@ -51,7 +51,7 @@
     )
 
 
-def _settings(path: Path) -> tuple[Settings, Names]:
+def _read_settings(path: Path) -> tuple[Settings, Names]:
     try:
         content: Any = json.loads(path.read_text())
     except (OSError, ValueError) as error:
--- a/yewhook/toolcalls/workers.py
+++ b/yewhook/toolcalls/workers.py
@@ -116,7 +116,7 @@
         return self.workers.loop.after(wait, self._check_silence)
 
     def slow(self, peer: Peer, slow: bool) -> None:
-        """Ignored: little is sent to a worker."""
+        """Ignored: a worker may read at any pace; nothing is paused for it."""
 
     def gone(self, peer: Peer) -> None:
         """Ignored: `_response_received` is called with ConnectionLost."""
