--- a/yewhook/commands/lab.py
+++ b/yewhook/commands/lab.py
@@ -84,7 +84,7 @@
 @lab.command()
 def fleet(
     day: Annotated[
-        list[str] | None, typer.Option(help="Name of a day to simulate; may be repeated. Default: all.")
+        list[str] | None, typer.Option(help="A day to simulate; may be repeated. Default: all but `power`.")
     ] = None,
     seed: SeedOption = 1,
     routers: Annotated[int, typer.Option(min=2, max=1000)] = 200,
