--- a/hopshed/backlog.py
+++ b/hopshed/backlog.py
@@ -28,8 +28,8 @@
 class Backlog:
     """One server's queue of reads, in seconds of its time."""
 
-    queue: float = 0.0  # at `at`, in seconds of a server that reads at its role's pace
-    at: float = -math.inf
+    queue: float = 0.0  # work queued at time `at`, in seconds of a server that reads at its role's pace
+    at: float = -math.inf  # time of `queue`
     total_sent: float = 0.0  # seconds of reads ever sent
     unexplained_wait: Estimate = field(default_factory=Estimate)  # seconds that reads waited beyond the queue
     read_rate: Estimate = field(default_factory=Estimate)  # seconds of reads sent per second
@@ -66,13 +66,13 @@
         self.queue, self.at = min(MAX_QUEUE_S, self.total_sent - mark), now
 
     def wait_observed(self, wait: float, expected: float, now: float) -> float:
-        """Take in the seconds that a read waited; returns those that the queue does not explain."""
+        """Learn from the seconds that a read waited; returns those that the queue does not explain."""
         unexplained = max(0.0, wait - expected)
         self.unexplained_wait.learn(unexplained, now, UNEXPLAINED_GAIN, UNEXPLAINED_DECAY_S)
         return unexplained
 
     def wait_reported(self, unexplained: float, now: float) -> None:
-        """Take in unexplained seconds of waiting that another router reports."""
+        """Learn the unexplained seconds of waiting that another router reports."""
         self.unexplained_wait = Estimate(
             max(unexplained, self.unexplained_wait.decayed(now, UNEXPLAINED_DECAY_S)), now
         )
--- a/hopshed/control.py
+++ b/hopshed/control.py
@@ -1,8 +1,8 @@
 """hopshed's decision logic. Its settings, events and actions are defined in `interface.py`, in this folder.
 
 Design (AIBrix RFC, issue #633): held requests, ordered by their session's accumulated service time (CST), are
-admitted in batches sized to the free room at writers; a turn goes to its session's last reader, or to the one
-its prefix hashes to, then to one of two random writers. "Departure" marks a difference from that design.
+admitted in batches sized to the free room at writers; a turn goes to its session's last reader, or to its
+prefix's home by rendezvous hashing, then to one of two random writers. "Departure" marks a change to it.
 """
 
 from __future__ import annotations
@@ -38,19 +38,19 @@
 CHECK_TICKS = 4  # ticks between checks for silent servers and due probes
 IDLE_LIMIT_S = 60.0  # sessions and cached prefixes that were not used for so long are dropped
 MAX_HOME_ORDERS = 500  # rendezvous orders cached for each role
-READ_BOUND = 2.0  # a reader with more reads than this times the median of its candidates is passed over
-GAIN = 0.25  # weight of a sample in a fast moving average
+MAX_READS_FACTOR = 2.0  # a reader with over this times the candidates' median of reads is passed over
+FAST_GAIN = 0.25  # weight of a sample in a fast moving average
 SLOW_GAIN = 0.05  # weight of a sample in a slow moving average
-DRAG_MAX = 4.0  # upper bound of one stream's sample of a server's drag
+DRAG_MAX = 4.0  # upper bound of one stream's sample of `Worker.drag`
 MIXED_READ_SHARE = 0.6  # share of their time that mixed servers may spend on reading
-LEAVE_GAIN = 0.05  # weight of one client that leaves, or stays, in the share of clients that leave
-LEAVE_FADE = 0.0125  # the same of a request that is not served
-LEAVE_SHARE = 0.5  # share of leaving clients above which their age bounds the aim, to spare those that stay
+LEAVING_GAIN = 0.05  # weight of one client that leaves, or stays, in the share of clients that leave
+UNSERVED_GAIN = 0.0125  # weight of a request that is not served; it lowers that share
+MAX_LEAVING_SHARE = 0.5  # above it, the age of leaving clients bounds the aim, which costs those that stay
 SPARE_HOMES = 2  # readers beyond a prefix's homes that a turn may go to
 ACCEPT_SHARE = 0.6  # share of the time left; a reader expected to take no more is accepted at once
-AIM_MARGIN = 0.6  # share of the aim that an expected read may take, as estimates err and many would be late
+AIM_SHARE = 0.6  # part of the time to the aim for an expected read, as estimates err and many would be late
 BACKLOG_SPARE_HOMES = 4  # SPARE_HOMES where routers share their backlogs
-BACKLOG_AIM_MARGIN = 0.8  # AIM_MARGIN where routers share their backlogs
+BACKLOG_AIM_SHARE = 0.8  # AIM_SHARE where routers share their backlogs
 READ_COST_WEIGHT = 1.0  # weight of the time that a read takes from other requests, against its own delay
 SLOW_TOKEN_FACTOR = 4.0  # a first token is slow if it takes longer than this times the writer's shortest
 SLOW_TOKEN_MIN_S = 0.3  # and longer than this
@@ -62,11 +62,11 @@
 STATE_HOLD_SHARE = 0.6  # share of the release limit for which a read state may wait for a writer
 RETRY_AFTER_S = (0.2, 0.8)  # range of the random retry advice to refused clients
 ANSWER_TIME_S = 0.1  # time reserved for the final answer
-MOVE_SHARE = 0.34  # share of this router's streams that are moved when a server is ejected as silent
+MOVED_SHARE = 0.34  # share of this router's streams that are moved when a server is ejected as silent
 RESUMED_AIM_FACTOR = 2.0  # multiple of its aim that a resumed stream may take
 LOG_INTERVAL_S = 5.0  # shortest time between summaries in the log
 RESUBSCRIBE_DELAY_S = 0.5  # first delay until a failed subscription is repeated
-OVER_QUOTA_MARGIN = 0.5  # share of the time left that a turn over its tenant's quota must do without
+OVER_QUOTA_CUT = 0.5  # share of the time left that a turn over its tenant's quota must do without
 
 
 class Controller:
@@ -119,12 +119,12 @@
             interface.TimerFired: self._timer_fired,
             interface.ServiceLevel: self._level_set,  # applies to later requests
             interface.PeerSaid: self._peer_said,
-            interface.WarmRates: self._warm_rates_given,  # takes in rates from before all servers were lost
+            interface.WarmRates: self._warm_rates_given,  # rates from before all servers were lost
             interface.StateReleased: self._state_released,
         }
 
     def handle(self, now: float, events: list[interface.Event]) -> list[interface.Action]:
-        """Take in the events of one round of the event loop, in order; returns the actions they lead to."""
+        """Process the events of one round of the event loop, in order; returns the resulting actions."""
         self.actions = []
         if not self.timer_token:
             self._set_timer()
@@ -141,7 +141,7 @@
         return self.actions
 
     def _peer_said(self, event: interface.PeerSaid, now: float) -> None:
-        """Take in a gossip message of another router."""
+        """Process a gossip message of another router."""
         try:
             message = self.gossip.receive(event.data, now)
         except ValueError as error:
@@ -162,7 +162,7 @@
         self.slow_start.invalidate()
 
     def _servers_listed(self, event: interface.ServersListed, now: float) -> None:
-        """Take in a server list or changes to it; a failure keeps the old list and subscribes again later."""
+        """Apply a server list or changes to it; a failure keeps the old list and subscribes again later."""
         if event.kind is ListKind.FAILED:
             self.resubscribe_at = now + self.resubscribe_delay if self.settings.subscribe else math.inf
             self.resubscribe_delay = min(2 * self.resubscribe_delay, self.settings.ask_within / 2)
@@ -202,13 +202,13 @@
         self.home_weights_stale = True
 
     def _apply_changes(self, changed: list[Worker], started: list[Worker]) -> None:
-        """Pass changes on to the parts; the cost depends on their number and not on the fleet's size."""
+        """Pass changes on to the components; the cost depends on their number and not on the fleet's size."""
         for worker in started:
             self.gossip.add_server(worker.info.id)
         self.topology.update(changed)
 
     def _apply_full_list(self, listed: set[int], now: float) -> None:
-        """Mark the servers that a full list does not name as gone, and pass the list on to the parts."""
+        """Mark the servers that a full list does not name as gone, and pass the list on to the components."""
         for worker in [worker for number, worker in self.workers.items() if number not in listed]:
             worker.info = worker.info._replace(state=ServerState.GONE)
             worker.gone_at = min(now, worker.gone_at)
@@ -231,14 +231,14 @@
         """Close the request of a client that has left, and count it for the share of leaving clients."""
         request = self.requests.get(event.id)
         if request is not None and not request.done:
-            self.leaving_share[request.tenant] += LEAVE_GAIN * (1.0 - self.leaving_share[request.tenant])
-            self.mean_leaving_age[request.tenant] += GAIN * (
+            self.leaving_share[request.tenant] += LEAVING_GAIN * (1.0 - self.leaving_share[request.tenant])
+            self.mean_leaving_age[request.tenant] += FAST_GAIN * (
                 now - request.arrived_at - self.mean_leaving_age[request.tenant]
             )
             self._close(request)
 
     def _state_released(self, event: interface.StateReleased, now: float) -> None:
-        """An attempt in flight may have fetched the state; any later one has to begin with a read."""
+        """The state is gone, unless an attempt in flight has fetched it: any later one begins with a read."""
         if (request := self.requests.get(event.id)) is not None:
             request.state_reader = None
 
@@ -246,9 +246,9 @@
         """Hold a new request until it is admitted; the level of service may admit only a share of them."""
         aim = self.settings.classes[event.cls].aim_of(event.prompt_tokens)
         tenant = min(event.tenant, len(self.leaving_share) - 1)
-        if self.leaving_share[tenant] > LEAVE_SHARE:
+        if self.leaving_share[tenant] > MAX_LEAVING_SHARE:
             aim = min(aim, self.mean_leaving_age[tenant])  # later reads would run on and serve nobody
-        if event.resumed:  # a refusal would lose all that was streamed elsewhere, lateness only a part
+        if event.resumed:  # a refusal loses the worth of what was streamed elsewhere, lateness only a part
             aim = min(RESUMED_AIM_FACTOR * aim, event.patience)
         request = self.requests[event.id] = Request(event, tenant, now, now + event.patience, now + aim)
         self.popularity.prefix_arrived(event.prefix, now)
@@ -268,12 +268,12 @@
         self.queue.push(request, now)
 
     def _stream_started(self, event: interface.StreamStarted, now: float) -> None:
-        """Learn from the time to the first token: the server's wait, backlog, floor and stream limit."""
+        """Learn from the time to the first token: the server's wait, backlog, `floor` and stream limit."""
         request, attempt = self._find_attempt(event.id, event.attempt)
         if request is None or attempt is None or not attempt.live or attempt.streaming:
             return
         attempt.streaming, attempt.ttft, request.state_reader = True, event.latency, None
-        self.leaving_share[request.tenant] *= 1 - LEAVE_GAIN
+        self.leaving_share[request.tenant] *= 1 - LEAVING_GAIN
         worker = attempt.server
         worker.pending.remove(attempt)
         self.health.attempt_succeeded(worker, now)
@@ -352,7 +352,7 @@
         worker.backlog.read_ended(attempt.backlog_mark, event.latency, expected, now)
         expected_hits = (request.event.prompt_tokens - attempt.fresh_tokens) / worker.hit
         if expected_hits > 0:
-            worker.hit += GAIN * (min(1.0, event.note / expected_hits) - worker.hit)  # falls after a flush
+            worker.hit += FAST_GAIN * (min(1.0, event.note / expected_hits) - worker.hit)  # falls on a flush
         request.state_reader = worker
         self._record_read(request, worker, now)
 
@@ -391,7 +391,7 @@
             session.cst += time + read * self.paces.by_role[Role.READER]
 
     def _probe_ended(self, event: interface.ProbeEnded, now: float) -> None:
-        """Take in the load that a probe brought, or eject a server whose probes are lost."""
+        """Record the load that a probe brought, or eject a server whose probes are lost."""
         if (worker := self.workers.get(event.server)) is None:
             return
         silent = self.health.probe_ended(worker, event.ok, now)
@@ -418,13 +418,13 @@
         )
 
     def _eject(self, worker: Worker, now: float, silent: bool) -> None:
-        """Leave a server out for a while; from a silent one, cancel what waits and move some streams."""
+        """Eject a server; if silent, cancel its attempts without a first token and move some streams."""
         if not self.health.eject(worker, self._peers(worker), now):
             return
         self.actions.append(Log(f"eject {worker.info.id} {'silent' if silent else 'failing'} at {now:.1f}"))
         if not silent:  # at a silent server, attempts would run into timeouts, and streams make no progress
             return
-        moves = max(1, int(MOVE_SHARE * sum(self.room.streams.values()))) if self.settings.may_resume else 0
+        moves = max(1, int(MOVED_SHARE * sum(self.room.streams.values()))) if self.settings.may_resume else 0
         for request in list(self.requests.values()):
             for number, attempt in enumerate(request.attempts):
                 if attempt.server is worker and attempt.live and attempt.streaming and moves > 0:
@@ -440,7 +440,7 @@
                     self.actions.append(interface.CancelAttempt(request.event.id, number))
 
     def _usable(self, worker: Worker, now: float, request: Request | None = None) -> bool:
-        """Whether a server may be sent to; a cold one only within its budget, if it is for a request."""
+        """Whether a server may be used; a cold one only within its budget, if `request` is given."""
         if worker.known_usable:
             return True
         if not self.health.usable(worker, now):
@@ -454,7 +454,7 @@
         return self.fleet.running[worker.role]
 
     def pool(self, role: Role, now: float, request: Request | None = None) -> list[Worker]:
-        """A role's usable servers; for a request those it has not tried, for an unsafe one no suspects."""
+        """A role's usable servers; for a request only untried ones, for an unsafe one no suspect ones."""
         pool = self.fleet.running[role]
         if request is not None and request.attempts:
             tried = [attempt.server for attempt in request.attempts]
@@ -475,12 +475,12 @@
         return self.room.smoothed(role, self.pool(role, now), now)
 
     def _admit_held(self, now: float) -> None:
-        """Admit held requests while there is room for their streams."""
+        """Admit held requests while there is room for their streams; `free` is the room, by "is mixed"."""
         if not self.queue.count:
             return self.queue.compact()
         free = {True: self._room(Role.MIXED, now), False: self._room(Role.WRITER, now) - self.reads_in_flight}
         self.room.mark_smoothed(now)
-        # Reads slow the answers of mixed servers, so all routers' reads are held to a share of their time.
+        # Reads slow the answers of mixed servers, so all routers' reads are limited to a share of their time.
         mixed_servers = self.fleet.by_role[Role.MIXED]
         reads = self.read_load[Role.MIXED].decayed(now, WORK_RATE_TIME_CONSTANT_S) * self.settings.instances
         if mixed_servers and self.waits.uses_backlog(mixed_servers[0]):
@@ -488,7 +488,7 @@
         busy = reads / max(1, self.topology.running[Role.MIXED])
         free[True] *= max(0.0, 1 - busy / MIXED_READ_SHARE)
         idle = not self.attempts_in_flight
-        # A random threshold, for room of less than one stream at each of many routers would stay unused.
+        # The threshold is random, as room for less than one stream at each of many routers would stay unused.
         while self.queue.count and (idle or max(free.values()) >= self.admission_threshold):
             self.admission_threshold = self.random.random()
             mixed = self._dispatch(self.queue.pop(now), free, now)
@@ -554,7 +554,7 @@
         """The reader for a turn, and the share of the time until `due` that its read is expected to take.
 
         The session's last reader, else its home, else the next in hash order, none above READ_BOUND.
-        Departure: if all take over ACCEPT_SHARE, the fastest candidate, as others would read all of it."""
+        Departure: if all take over ACCEPT_SHARE, the fastest of these, as others have nothing cached."""
         pool = self.pool(Role.MIXED if mixed else Role.READER, now, request)
         if mixed:  # a home must not take reads beyond its room, which would slow all its answers
             pool = self.room.with_room(pool, now) or pool
@@ -565,22 +565,22 @@
         )
         pool = self._candidates(request, pool, BACKLOG_SPARE_HOMES if backlogs else SPARE_HOMES, now)
         fetch = 0.0 if mixed else self.waits.of_role(Role.WRITER, now)
-        margin = BACKLOG_AIM_MARGIN if backlogs else AIM_MARGIN
-        left = (min((due - now) * margin, request.deadline - now) - fetch) * (
-            1 - OVER_QUOTA_MARGIN * request.over_quota
+        aim_share = BACKLOG_AIM_SHARE if backlogs else AIM_SHARE
+        left = (min((due - now) * aim_share, request.deadline - now) - fetch) * (
+            1 - OVER_QUOTA_CUT * request.over_quota
         )
         fresh = self._fresh_at_each(request, pool)
         expected = [self._expected_read_time(w, tokens, now) for w, tokens in zip(pool, fresh, strict=True)]
-        # The margin is for the uncertain wait only; applied to reads, it would refuse long prompts first.
+        # The share is for the uncertain wait only; applied to reads too, it would refuse long prompts first.
         pace = self.paces.by_role[pool[0].role]
         reads = [tokens * pace * w.backlog.slowdown(now) for w, tokens in zip(pool, fresh, strict=True)]
-        in_time = [n for n, wait in enumerate(expected) if wait - reads[n] * (1 - margin) <= left]
+        in_time = [n for n, wait in enumerate(expected) if wait - reads[n] * (1 - aim_share) <= left]
         if backlogs:  # departure: the lowest cost, as the backlogs that all routers share are reliable
             cost = {n: expected[n] + READ_COST_WEIGHT * reads[n] for n in in_time}
             best = min(in_time, key=cost.__getitem__, default=-1)
             return (pool[best], expected[best] / left) if in_time and left > 0 else (None, math.inf)
         loads = [worker.streams if mixed else worker.reads for worker in pool]
-        bound = READ_BOUND * max(1.0, median(loads))
+        bound = MAX_READS_FACTOR * max(1.0, median(loads))
         for worker, wait, load in zip(pool, expected, loads, strict=True):
             if wait <= ACCEPT_SHARE * left and load <= bound:
                 return worker, wait / left if left > 0 else 0.0
@@ -603,9 +603,9 @@
         return found
 
     def _draw_writers(self, request: Request, home: Worker | None, now: float) -> list[Worker]:
-        """Two random writers for a state at `home`. Departure: from its cell, else its zone, as links are
-        slow and cost money, but no more than the place's share of all writers, as near ones would fill up
-        unnoticed where few waits are seen. The share comes from the list alone, so all routers' add up."""
+        """Two random writers for a state at `home`. Departure: from its cell, else its zone, as other links
+        are slow and cost money; but only as often as the balance there (see Topology) allows, as near writers
+        would fill up unnoticed where few waits are seen. All routers have equal balances: draws add up."""
         pool = self.pool(Role.WRITER, now, request) or self.pool(Role.MIXED, now, request)
         pool = self.room.with_room(pool, now) or pool
         if home is not None:
@@ -649,7 +649,7 @@
         return cls.group is Group.ALL or same
 
     def _send(self, request: Request, worker: Worker, now: float, read: bool) -> None:
-        """Send a request to a server, and book the attempt; `read` = a read only, at a reader."""
+        """Send a request to a server and record the attempt; `read` = a read only, at a reader."""
         fetch = worker.role is Role.WRITER or (worker.role is Role.MIXED and request.state_reader is not None)
         fresh = 0.0 if fetch else self._fresh_tokens(request, worker)
         expected = self.waits.of_server(worker, now)
@@ -693,12 +693,12 @@
 
     def _send_next(self, request: Request, now: float) -> None:
         """Go on with a request that has nothing in flight: hand its state over, read it (again) or end it."""
-        first = request.attempts[-1].outcome is Outcome.READ
+        after_read = request.attempts[-1].outcome is Outcome.READ
         if request.deadline - now < ANSWER_TIME_S or len(request.attempts) >= self.settings.max_attempts:
             return self._reject(
                 request, "out of time" if request.deadline - now < ANSWER_TIME_S else "out of attempts"
             )
-        if not first and self.retry_budget < 1:
+        if not after_read and self.retry_budget < 1:
             return self._reject(request, "retry budget spent")
         if request.state_reader is not None:
             worker = self._writer(request, now)
@@ -709,7 +709,7 @@
                 return None  # the next tick tries again
             return self._reject(request, "no writer")
         mixed = request.attempts[-1].server.role is Role.MIXED
-        for whole in (mixed, not mixed):  # whole = the read and the answer, at a mixed server
+        for whole in (mixed, not mixed):  # whole = read and answer, both at a mixed server
             worker = self._reader(request, whole, request.deadline, now)[0]
             if worker is not None and self._may_send(request, worker, now):
                 return self._send(request, worker, now, read=not whole)
@@ -720,7 +720,7 @@
         self.unserved_counts[why] = self.unserved_counts.get(why, 0) + 1
         if self._explain is not None:
             self._explain(request.event.id, why)
-        self.leaving_share[request.tenant] *= 1 - LEAVE_FADE  # else a bounded aim would keep itself in force
+        self.leaving_share[request.tenant] *= 1 - UNSERVED_GAIN  # else, while all are refused, it would stay
         cls = self.settings.classes[request.event.cls]
         if (
             not request.possibly_run
--- a/hopshed/fleet.py
+++ b/hopshed/fleet.py
@@ -23,7 +23,7 @@
         self.running: dict[Role, list[Worker]] = {role: [] for role in Role}
         self._indexed = set[int]()  # ids in `by_role`
         self._running = set[int]()  # ids in `running`
-        self._gone: dict[int, Worker] = {}
+        self._gone: dict[int, Worker] = {}  # by id; the list reported them gone
 
     def rebuild(self) -> None:
         """Rebuild the index after a full list."""
--- a/hopshed/free_room.py
+++ b/hopshed/free_room.py
@@ -69,18 +69,18 @@
         """
         if worker.load is not None and worker.load.in_flight is not None:
             return worker.load.in_flight / self._settings.instances
-        held = LIMIT_START
+        requests = LIMIT_START
         if (
             worker.load is not None
             and worker.load.memory_share
             and self._settings.memory_tokens
             and self.mean_request_tokens
         ):
-            held = max(
-                held, worker.load.memory_share * self._memory_tokens(worker) / self.mean_request_tokens
+            requests = max(
+                requests, worker.load.memory_share * self._memory_tokens(worker) / self.mean_request_tokens
             )
         mean = self.streams[worker.role] / max(1, self._topology.running[worker.role])
-        return max(worker.streams_at_load, mean, held / self._settings.instances)
+        return max(worker.streams_at_load, mean, requests / self._settings.instances)
 
     def _memory_tokens(self, worker: Worker) -> float:
         """A server's memory in tokens, by its kind."""
--- a/hopshed/handover.py
+++ b/hopshed/handover.py
@@ -25,21 +25,21 @@
 class LearnedServer:
     """What was learned about one server. The fields have the names of attributes of `state.Worker`."""
 
-    listed: float  # time at which the server was first listed
-    wait: float  # seconds that requests wait there
-    wait_at: float  # time of that estimate
-    floor: float  # least time to a first token, in seconds
-    limit: float | None  # adaptive limit on streams
-    hit: float  # part of the tokens expected in the server's cache that were found there
-    drag: float  # time of its streams against the mean of their class over all servers
-    errors: float  # error rate, 0 to 1
+    listed: float  # time at which it was first listed
+    wait: float  # learned wait in the server's queue, in seconds
+    wait_at: float  # time of `wait`
+    floor: float  # shortest time to a first token, in seconds; slowly rises
+    limit: float | None  # adaptive concurrency limit, in streams; None = not yet known
+    hit: float  # share of the tokens expected in the server's cache that were found there
+    drag: float  # mean time of its streams as a multiple of their class's mean over all servers
+    errors: float  # moving average of the share of attempts that failed, 0 to 1
     ejected: float  # time at which the latest ejection ends
-    ejections: int  # in a row
-    trial: bool  # whether it has to prove itself after an ejection
-    failed_at: float  # time of the latest failure
+    ejections: int  # ejections in a row
+    trial: bool  # whether it was ejected and has not answered a request since
+    failed_at: float  # time of the latest failed attempt
     life: float  # time of the latest sign of life
-    cold_level: float  # token bucket of slow start
-    cold_at: float  # time of that level
+    cold_level: float  # slow start: level of the token bucket, in sends of mean work
+    cold_at: float  # time of `cold_level`
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,22 +47,21 @@
     """What a controller has learned, as it is encoded for its successor and in snapshots."""
 
     servers: dict[int, LearnedServer]
-    work: dict[int, Estimate]  # by server, the rate of work sent there
+    work: dict[int, Estimate]  # by server: work sent there, in sends of mean work a second
     sessions: list[tuple[str, Session]]  # in the order of last use, as are `kept` and `seen`
-    kept: list[tuple[int, str, Estimate]]  # server, tag of a prefix in its cache, last use
-    seen: list[tuple[str, Estimate]]  # prefix, decayed number of requests with it; "" counts all
+    kept: list[tuple[int, str, Estimate]]  # server, tag of a prefix believed to be in its cache, last use
+    seen: list[tuple[str, Estimate]]  # prefix ("" = any), decayed number of requests with it
     waits: dict[Role, Estimate]  # seconds that requests wait at servers of a role
     pace: dict[Role, float]  # seconds that servers of a role need to read a token
-    paced: int  # number of reads from which `pace` was learned
-    means: tuple[
-        float, float, float, float
-    ]  # tokens of a prompt, those not cached, of a request; arrival gap, s
+    paced: int  # number of reads from which the paces were learned
+    # Means: tokens of a prompt, those of them not found cached, tokens of a request (prompt and answer),
+    # seconds between arrivals.
+    means: tuple[float, float, float, float]
     by_class: list[tuple[float, float]]  # mean time of a stream in seconds, mean tokens of a prompt
-    by_tenant: list[
-        tuple[float, float]
-    ]  # part of the clients that leave, mean age when they leave, in seconds
+    by_tenant: list[tuple[float, float]]  # share of clients that leave, their mean age then in seconds
     quotas: list[tuple[float, float]]  # by tenant, level of the token bucket and time of that level
-    words: tuple[dict[int, float], dict[int, float], dict[int, float]]  # see Gossip.export
+    # Times of gossip messages by server: failures received, failures sent, waits sent or received.
+    words: tuple[dict[int, float], dict[int, float], dict[int, float]]
 
 
 def split_state(controller: Controller) -> LearnedState:
--- a/hopshed/interface.py
+++ b/hopshed/interface.py
@@ -62,8 +62,8 @@
     """What discovery says of a server."""
 
     RUNNING = "running"
-    DRAINING = "draining"
-    GONE = "gone"
+    DRAINING = "draining"  # finishes its requests and is to get no new ones
+    GONE = "gone"  # no longer listed
 
 
 class ListKind(Enum):
--- a/hopshed/popularity.py
+++ b/hopshed/popularity.py
@@ -6,15 +6,16 @@
 from .state import drop_unused
 
 TIME_CONSTANT_S = 60.0  # of the count of arrivals
-DROPPED = 300.0  # seconds without an arrival after which a prefix is dropped
-DOUBT = 10.0  # requests added to the total, so that few requests do not prove a prefix popular
+EXPIRY_S = 300.0  # seconds without an arrival after which a prefix is dropped
+PRIOR_REQUESTS = 10.0  # requests added to the total, so that a few requests do not make a prefix popular
 
 
 class Popularity:
     """Decaying counts of the prefixes of this router's requests."""
 
     def __init__(self) -> None:
-        self.seen: dict[str, Estimate] = {}  # by prefix, in the order of last use; "" counts all
+        # Prefix ("" = any) -> decayed number of requests with it, in the order of last use.
+        self.seen: dict[str, Estimate] = {}
 
     def prefix_arrived(self, prefix: str | None, now: float) -> None:
         """A request with this prefix arrived; one without a prefix does not count."""
@@ -30,8 +31,8 @@
         if not (seen := self.seen.get(prefix or "")):
             return 1
         total = self.seen[""].decayed(now, TIME_CONSTANT_S)
-        return max(1, round((seen.decayed(now, TIME_CONSTANT_S) - 1) / (total + DOUBT) * count))
+        return max(1, round((seen.decayed(now, TIME_CONSTANT_S) - 1) / (total + PRIOR_REQUESTS) * count))
 
     def expire(self, now: float) -> None:
         """Drop prefixes that have not arrived for long."""
-        drop_unused(self.seen, now - DROPPED)
+        drop_unused(self.seen, now - EXPIRY_S)
--- a/hopshed/prefix_cache.py
+++ b/hopshed/prefix_cache.py
@@ -16,7 +16,8 @@
     """Index of prefixes by server; at MAX_ENTRIES the least recently used entry is dropped."""
 
     def __init__(self) -> None:
-        self.uses: dict[tuple[int, str], Estimate] = {}  # (server, prefix tag), in the order of last use
+        # Server and tag of a prefix believed to be in its cache -> last use, in the order of last use.
+        self.uses: dict[tuple[int, str], Estimate] = {}
 
     def record_use(self, server: int, prefix_tag: str, now: float) -> None:
         """A prompt whose prefix has this tag is sent to a server."""
@@ -30,7 +31,7 @@
         """The tag under which `uses` has a prefix; None for no prefix."""
         return short_tag(prefix) if prefix is not None else None
 
-    def holds(self, server: int, prefix: str | None) -> bool:
+    def is_cached(self, server: int, prefix: str | None) -> bool:
         """Whether the server is believed to have the prefix in its cache."""
         return (server, self.tag_of(prefix)) in self.uses
 
--- a/hopshed/probes.py
+++ b/hopshed/probes.py
@@ -43,7 +43,7 @@
         """Whether probes are permitted and none is out to this server."""
         return self._allowed and not worker.probe_in_flight
 
-    def due_for_life(self, worker: Worker, now: float) -> bool:
+    def due_for_liveness(self, worker: Worker, now: float) -> bool:
         """Whether to probe for a sign of life: the server is silent, lost a probe or may end its ejection."""
         returning = worker.trial and now >= worker.ejected and worker.life < worker.ejected
         lost = worker.probe_failures > 0 and now >= worker.ejected
@@ -70,7 +70,7 @@
         for worker in workers:
             if not self.may_probe(worker) or worker.info.state is not ServerState.RUNNING:
                 continue
-            if self.due_for_life(worker, now):
+            if self.due_for_liveness(worker, now):
                 silent.append(worker)
             elif self.due_for_load(worker, now):
                 stale.append(worker)
--- a/hopshed/queue_waits.py
+++ b/hopshed/queue_waits.py
@@ -1,4 +1,4 @@
-"""How long requests wait at servers, learnt for each server and for each role."""
+"""How long requests wait at servers, learned for each server and for each role."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
         return self.mean_arrival_gap * servers > WAIT_DECAY_S
 
     def of_server(self, worker: Worker, now: float) -> float:
-        """The expected wait at a server: its backlog, or the wait learnt there, which decays to its role's.
+        """The expected wait at a server: its backlog, or the wait learned there, which decays to its role's.
 
-        One of many routers meets each server too rarely to rely on what it learnt there."""
+        One of many routers meets each server too rarely to rely on what it learned there."""
         if self.uses_backlog(worker):
             return worker.backlog.wait(now)
         fresh = math.exp((worker.wait_at - now) / WAIT_DECAY_S)
@@ -58,7 +58,7 @@
         return self.by_role[role].decayed(now, self._role_decay_s)
 
     def learn(self, worker: Worker, sample: float, now: float, expected: float) -> float:
-        """Take in a wait at a server, of which so much was expected; returns the wait to report to others."""
+        """Learn from a wait and the expected part of it, in seconds; returns the wait to report to others."""
         unexplained = worker.backlog.wait_observed(sample, expected, now)
         wait = self.of_server(worker, now)
         worker.wait, worker.wait_at = wait + SAMPLE_GAIN * (sample - wait), now
@@ -71,7 +71,7 @@
         return unexplained if self.uses_backlog(worker) else sample
 
     def learn_of_role(self, role: Role, sample: float, now: float) -> None:
-        """Take in a wait that is common to the servers of a role."""
+        """Learn from a wait that is common to the servers of a role."""
         self.by_role[role].learn(sample, now, ROLE_GAIN, self._role_decay_s)
 
     def is_outlier(self, worker: Worker, wait: float, now: float) -> bool:
--- a/hopshed/read_pace.py
+++ b/hopshed/read_pace.py
@@ -1,4 +1,4 @@
-"""How fast servers of each role read prompts, learnt from this router's own reads."""
+"""How fast servers of each role read prompts, learned from this router's own reads."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
     def __init__(self) -> None:
         self.by_role = dict.fromkeys(Role, 0.0)  # 0 = not measured yet, which refuses no turn
-        self.samples = 0
+        self.samples = 0  # number of reads from which the paces were learned
         self.measured: set[Role] = set()  # others use the other role's pace
 
     def learn(self, role: Role, fresh: float, latency: float) -> None:
-        """Take in a read of `fresh` tokens that took `latency` seconds, time in the queue included."""
+        """Learn from a read of `fresh` tokens that took `latency` seconds, time in the queue included."""
         pace = self.by_role[role] if role in self.measured else 0.0
         if fresh >= MIN_SAMPLE_TOKENS and (not pace or latency / fresh < pace * OUTLIER_FACTOR):
             self.samples += 1
@@ -36,7 +36,7 @@
             self.by_role = {role: pace * UNCERTAIN_FACTOR for role, pace in self.by_role.items()}
 
     def restore(self, paces: dict[Role, float], samples: int) -> None:
-        """Go on from the paces that another controller has learnt."""
+        """Continue from the paces that another controller has learned."""
         self.by_role, self.samples = self.by_role | paces, samples
         reader, mixed = self.by_role[Role.READER], self.by_role[Role.MIXED]
         self.measured |= {Role.READER} if reader else set()
--- a/hopshed/slow_start.py
+++ b/hopshed/slow_start.py
@@ -43,12 +43,12 @@
         # Sends per second that a warm server took from this router before all servers of its role were lost.
         self.warm_rates_before_loss: dict[Role, float] = {}
         self._warm_rates: dict[Role, _CachedFigure[float]] = {}  # sends per second
-        self._unused: dict[Role, _CachedFigure[bool]] = {}  # see _none_sent_to_warm
+        self._none_sent: dict[Role, _CachedFigure[bool]] = {}  # see _none_sent_to_warm
 
     def invalidate(self) -> None:
         """Drop cached figures because a send or a list has changed what they are computed from."""
         self._warm_rates = {role: figure for role, figure in self._warm_rates.items() if figure.many}
-        self._unused = {role: figure for role, figure in self._unused.items() if figure.many}
+        self._none_sent = {role: figure for role, figure in self._none_sent.items() if figure.many}
 
     def is_cold(self, worker: Worker, now: float) -> bool:
         """Whether the server is in slow start."""
@@ -110,7 +110,7 @@
         is warm, as it sends there no more than its part of the requests.
         """
         share = self.capacity_share(worker, now)
-        if self._cached(self._unused, self._none_sent_to_warm, worker.role, peers, now):
+        if self._cached(self._none_sent, self._none_sent_to_warm, worker.role, peers, now):
             worker.cold_level = draw + share
             return
         budget = (
--- a/hopshed/state.py
+++ b/hopshed/state.py
@@ -51,12 +51,8 @@
     read_only: bool  # at a reader; otherwise it fetches a state, or reads and answers at a mixed server
     sent_at: float
     fresh_tokens: float  # prompt tokens that the server is expected to read, as it has not cached them
-    expected_read_time: float = (
-        0.0  # seconds until the prompt was expected to be read, at the time of sending
-    )
-    queue_wait: float = (
-        0.0  # seconds of it that were expected to pass in the server's queue, if that is known
-    )
+    expected_read_time: float = 0.0  # seconds from sending until the prompt is expected to be read
+    queue_wait: float = 0.0  # seconds of it expected to pass in the server's queue, if that is known
     backlog_mark: float = 0.0  # the read's position in the server's backlog, see Backlog.add; 0 = none
     ttft: float = 0.0  # time to the first token, in seconds
     live: bool = True  # has not ended
@@ -74,7 +70,7 @@
     """A request from its arrival until it is closed and none of its attempts is in flight."""
 
     event: RequestArrived
-    tenant: int
+    tenant: int  # index into Settings.tenants, 0 without tenants
     arrived_at: float
     deadline: float  # when the client gives up
     first_token_due: float  # when the first token is wanted
@@ -104,35 +100,34 @@
     def __init__(self, info: Server, role: Role, now: float, listed: float) -> None:
         """`listed` = when the server was first listed, -inf if it was in the first list."""
         self.info, self.role = info, role
-        self.listed = listed
-        self.gone_at = math.inf  # when the list reported it gone
+        self.listed = listed  # time at which it was first listed
+        self.gone_at = math.inf  # time at which the list reported it gone
         self.reads, self.streams = 0, 0  # this router's live attempts: reads only, and all others
         self.pending: list[Attempt] = []  # live attempts that have no first token, oldest first
         self.reset(now)
 
     def reset(self, now: float) -> None:
-        """Forget what was learnt of the server's process, but not this router's live attempts."""
+        """Forget what was learned of the server's process, but not this router's live attempts."""
         self.load: Load | None = None  # the latest load report
         self.load_at = -math.inf  # when it came
         self.streams_at_load = 0  # `streams` at that time
         self.sends_since_load = 0  # streams sent since
-        self.wait, self.wait_at = 0.0, now  # learnt wait in the queue, in seconds, and when it was learnt
+        self.wait = 0.0  # learned wait in the server's queue, in seconds
+        self.wait_at = now  # time of `wait`
         self.floor = math.inf  # shortest time to a first token, in seconds; slowly rises
         self.limit: float | None = None  # adaptive concurrency limit, in streams; None = not yet known
         self.hit = 1.0  # share of the tokens expected in the server's cache that were found there
         self.drag = 1.0  # mean time of its streams as a multiple of their class's mean over all servers
-        self.errors = 0.0  # moving average of failed attempts, 0 to 1
-        self.ejected = -math.inf  # end of the latest ejection
+        self.errors = 0.0  # moving average of the share of attempts that failed, 0 to 1
+        self.ejected = -math.inf  # time at which the latest ejection ends
         self.ejections = 0  # ejections in a row
-        self.trial = False  # ejected before, and not answered since
-        self.failed_at = -math.inf  # the latest failed attempt
-        self.life = now  # the latest sign of life
+        self.trial = False  # whether it was ejected and has not answered a request since
+        self.failed_at = -math.inf  # time of the latest failed attempt
+        self.life = now  # time of the latest sign of life
         self.probe_in_flight, self.probed_at = False, -math.inf
         self.probe_failures = 0  # lost probes in a row
-        self.cold_level, self.cold_at = (
-            0.0,
-            now,
-        )  # slow start: tokens in the bucket, and when they were counted
+        self.cold_level = 0.0  # slow start: level of the token bucket, in sends of mean work
+        self.cold_at = now  # time of `cold_level`
         self.known_usable = False  # found running, warm, not ejected and not on trial, with no change since
         self.work_rate = Estimate()  # work sent there, in sends of mean work a second
         self.backlog = Backlog()  # reads of all routers there, if they share them by gossip
@@ -152,5 +147,5 @@
         self.streams -= not attempt.read_only
 
     def longest_wait(self, now: float) -> float:
-        """Seconds that the oldest pending attempt has waited; learnt waits don't include it yet."""
+        """Seconds that the oldest pending attempt has waited; learned waits don't include it yet."""
         return now - self.pending[0].sent_at if self.pending else 0.0
--- a/hopshed/topology.py
+++ b/hopshed/topology.py
@@ -12,8 +12,8 @@
 from .state import Worker
 
 # Bounds of the weight of a cell's readers as homes of prefixes and sessions, which is the cell's balance.
-LEAN_LEAST = 0.8
-LEAN_MOST = 1.2
+MIN_HOME_WEIGHT = 0.8
+MAX_HOME_WEIGHT = 1.2
 
 
 class _Locations:
@@ -115,9 +115,10 @@
         """`home_weight` of each server, by its number."""
         self._compute_balances()
         weights = {
-            cell: min(LEAN_MOST, max(LEAN_LEAST, balance)) for cell, balance in self._cell_balances.items()
+            cell: min(MAX_HOME_WEIGHT, max(MIN_HOME_WEIGHT, balance))
+            for cell, balance in self._cell_balances.items()
         }
-        return {worker.info.id: weights.get(worker.info.cell, LEAN_MOST) for worker in workers}
+        return {worker.info.id: weights.get(worker.info.cell, MAX_HOME_WEIGHT) for worker in workers}
 
     def _compute_balances(self) -> None:
         if not self._stale:
--- a/hopshed/zone_reachability.py
+++ b/hopshed/zone_reachability.py
@@ -13,7 +13,7 @@
 
 MIN_SILENCE_S = 0.1  # a refused connection fails sooner
 MIN_SILENT_SERVERS = 2  # silent servers that make a zone unreachable
-AVOIDED_FOR = 2.0  # seconds after the latest silence for which the zone is avoided
+AVOID_FOR_S = 2.0  # seconds after the latest silence for which the zone is avoided
 REMEMBERED_S = 10.0  # time after which a server's silence no longer counts
 
 
@@ -39,5 +39,5 @@
         return {
             zone
             for zone, servers in self._silent.items()
-            if len(servers) >= MIN_SILENT_SERVERS and now - max(servers.values()) < AVOIDED_FOR
+            if len(servers) >= MIN_SILENT_SERVERS and now - max(servers.values()) < AVOID_FOR_S
         }
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,7 +77,7 @@
         **changes: Any,
     ) -> None:
         """`changes` replaces fields of the settings."""
-        self.controller = make(settings(**changes), seed)  # the controller
+        self.controller = make(settings(**changes), seed)
         self.now = 100.0
         self.attempts: dict[str, list[int]] = {}  # request -> the servers it was sent to
         self.timer = (0.0, 0)  # when it fires, and its token
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -372,11 +372,12 @@
     fleet = (*[server(n, 0) for n in range(1, 6)], *warm, server(30, 1, started=100.0))
     _, sends = arrivals(400, 1 / rate, routers, fleet)
     cold = sum(s.server == 30 for s in sends)
-    a_warm_one = sum(s.server in {worker.id for worker in warm} for s in sends) / len(warm)
-    assert 0 < cold < 2.5 * 0.3 * a_warm_one  # fall_multiple x cold_from, relative to a warm server's sends
+    per_warm_writer = sum(s.server in {worker.id for worker in warm} for s in sends) / len(warm)
+    # The bound is fall_multiple x cold_from, relative to a warm server's sends.
+    assert 0 < cold < 2.5 * 0.3 * per_warm_writer
 
 
-def test_a_mixed_servers_pace_is_not_learnt_from_cached_tokens():
+def test_a_mixed_servers_pace_is_not_learned_from_cached_tokens():
     """Forty routers share the servers' caches. If a router counted the tokens that others had cached as read,
     it would learn a pace six times too fast, and admit so many reads that all answers would slow down."""
     for cached, pace in ((1800, 0.0), (0, 0.2 / 2000)):
@@ -413,15 +414,15 @@
 def test_each_router_counts_only_its_share_of_the_free_room():
     """If each router counted on at least one stream at each writer, many routers would overfill the fleet."""
     bench = Bench(report_fields=("memory_share",), may_probe=True, instances=100)
-    for wid in (11, 12, 13):
-        bench.do(ProbeEnded(wid, True, 0.01, Load(memory_share=0.8)))
+    for number in (11, 12, 13):
+        bench.do(ProbeEnded(number, True, 0.01, Load(memory_share=0.8)))
     bench.controller.room.mean_request_tokens = 1600.0
     # 100 streams at each of three writers and room for 25 more: 0.75 for each router.
     assert bench.controller._room(Role.WRITER, bench.now) < 1.0
 
 
 def test_a_pace_from_one_slow_read_does_not_cause_lasting_refusals():
-    """A pace learnt from one read that had queued could refuse all turns, so that none corrects it."""
+    """A pace learned from one read that had queued could refuse all turns, so that none corrects it."""
     bench = Bench()
     bench.arrive("a")
     bench.read("a", after=3.0)
@@ -438,9 +439,8 @@
         bench.now,
     )
     bench.arrive("late")
-    assert (
-        bench.controller.paces.by_role == before
-    )  # a pace from many reads stays, as it would fall to nothing under load
+    # A pace from many reads stays, as it would fall to nothing under load.
+    assert bench.controller.paces.by_role == before
 
 
 def test_probes_grow_with_traffic_and_not_with_the_fleet():
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -21,7 +21,7 @@
 
 
 CHANGED = [
-    (control, "AIM_MARGIN", 0.61),
+    (control, "AIM_SHARE", 0.61),
     (control, "ACCEPT_SHARE", 0.55),
     (control, "STATE_HOLD_SHARE", 0.2),
     (hold_queue, "PRIORITY_WAIT_FACTOR", 1.0),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -73,4 +73,4 @@
     one.set_servers([1, 2])
     one.remove_server(1)
     one.add_server(3)
-    assert one._tags == {short_tag("2"): (2,), short_tag("3"): (3,)}
+    assert one._servers_by_tag == {short_tag("2"): (2,), short_tag("3"): (3,)}
--- a/tests/test_free_room.py
+++ b/tests/test_free_room.py
@@ -37,9 +37,8 @@
 def test_an_old_load_report_is_ignored() -> None:
     worker = report(writer(11), Load(utilization=0.5, in_flight=10.0))
     reported = room(worker, report_fields=("utilization",), instances=2)
-    assert reported.of_server(worker, NOW) == pytest.approx(
-        5.0
-    )  # half of the requests in flight are this router's
+    # Half of the requests in flight are this router's.
+    assert reported.of_server(worker, NOW) == pytest.approx(5.0)
     assert reported.of_server(worker, NOW + REPORT_TTL_S + 0.01) is None
 
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -20,9 +20,9 @@
 from yewhook.platform.peers import Peers
 
 
-def gossip(**kw: Any) -> Gossip:
+def gossip(**changes: Any) -> Gossip:
     """The gossip of one of 40 routers, where the settings do not say otherwise."""
-    return Gossip(settings(**(dict[str, Any](may_tell=True, instances=40) | kw)))
+    return Gossip(settings(**(dict[str, Any](may_tell=True, instances=40) | changes)))
 
 
 def test_a_server_that_failed_at_another_router_is_suspect_for_a_while() -> None:
@@ -36,7 +36,7 @@
     assert not other.is_suspect(8, 100.0)
 
 
-def test_a_failure_that_was_just_told_is_not_told_again() -> None:
+def test_a_failure_that_was_just_reported_is_not_reported_again() -> None:
     one, other = gossip(), gossip()
     message = one.failure_message(7, 100.0)
     assert (
@@ -48,9 +48,9 @@
     assert other.failure_message(7, 100.2) is None and other.failure_message(8, 100.2)
 
 
-@pytest.mark.parametrize("kw", [{"may_tell": False}, {"instances": 1}])
-def test_no_message_is_due_without_permission_or_without_other_routers(kw: dict[str, object]) -> None:
-    assert gossip(**kw).failure_message(7, 100.0) is None
+@pytest.mark.parametrize("changes", [{"may_tell": False}, {"instances": 1}])
+def test_no_message_is_due_without_permission_or_without_other_routers(changes: dict[str, object]) -> None:
+    assert gossip(**changes).failure_message(7, 100.0) is None
 
 
 @given(
@@ -69,7 +69,7 @@
 
 
 @given(st.integers(0, 2**64 - 1), st.floats(0.0, 100.0))
-def test_a_wait_is_decoded_as_sent_and_told_by_one_router_at_a_time(server: int, wait: float) -> None:
+def test_a_wait_is_decoded_as_sent_and_reported_by_one_router_at_a_time(server: int, wait: float) -> None:
     one, other = gossip(), gossip()
     message = one.slow_message(server, wait, 100.0)
     assert message and one.slow_message(server, wait, 100.0 + WAIT_INTERVAL_S / 2) is None
@@ -87,13 +87,13 @@
         receiver.receive(
             (b"F" if n % 2 else b"S") + n.to_bytes(8, "big") + (b"" if n % 2 else b"\x0a"), n / 10
         )
-    assert len(receiver._failure_heard_at) + len(receiver._wait_told_at) <= MAX_SERVERS + 1
+    assert len(receiver._failure_received_at) + len(receiver._wait_reported_at) <= MAX_SERVERS + 1
 
 
-def chosen_writers(told: bool, requests: int = 24) -> list[int]:
-    """Writers that unsafe requests are sent to, where a failure at server 11 has or has not been told."""
+def chosen_writers(reported: bool, requests: int = 24) -> list[int]:
+    """Writers that unsafe requests are sent to, where a failure at server 11 has or has not been reported."""
     bench = Bench(effect=Effect.UNSAFE, may_tell=True, instances=40)
-    if told:
+    if reported:
         message = gossip().failure_message(11, bench.now)
         assert message is not None
         bench.do(PeerSaid(3, message))
@@ -105,11 +105,11 @@
 
 
 def test_unsafe_requests_avoid_a_server_that_failed_at_another_router() -> None:
-    assert 11 in chosen_writers(told=False)
-    assert set(chosen_writers(told=True)) == {12, 13}
+    assert 11 in chosen_writers(reported=False)
+    assert set(chosen_writers(reported=True)) == {12, 13}
 
 
-def test_a_failure_is_told_and_a_suspect_that_is_the_only_server_is_used() -> None:
+def test_a_failure_is_reported_and_a_suspect_that_is_the_only_server_is_used() -> None:
     bench = Bench(fleet=(server(1, 0), server(11, 1)), effect=Effect.UNSAFE, may_tell=True, instances=40)
     bench.arrive("r1")
     bench.read("r1")
@@ -126,12 +126,12 @@
     one.arrive("a", session="s")
     home = one.attempts["a"][0]
     (tell,) = only(one.end("a", Outcome.TIMED_OUT, after=1.5), Tell)
-    for heard in (False, True):
+    for informed in (False, True):
         bench = Bench(may_tell=True, instances=40, seed=2)
-        if heard:
+        if informed:
             bench.do(PeerSaid(0, tell.data))
         bench.arrive("b", session="s")  # the same session has the same home at both
-        assert (bench.attempts["b"][0] == home) is not heard
+        assert (bench.attempts["b"][0] == home) is not informed
 
 
 def test_an_unknown_message_is_ignored_and_logged() -> None:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -35,8 +35,8 @@
     return Worker(server(number, KINDS[role], state=state), role, NOW, -math.inf)
 
 
-def make_health(**kw: Any) -> Health:
-    module_settings = settings(**kw)
+def make_health(**changes: Any) -> Health:
+    module_settings = settings(**changes)
     gossip = Gossip(module_settings)
     return Health(module_settings, ZoneReachability(), gossip, QueueWaits(gossip), ReadPaces())
 
@@ -133,10 +133,10 @@
     assert health.exceeds_silence_limit(writer, NOW + SILENCE_LIMIT_FACTOR * SILENT_AFTER_S + 0.01)
 
 
-def make_probes(**kw: Any) -> Probes:
+def make_probes(**changes: Any) -> Probes:
     """Probes that may ask for load, where the settings do not say otherwise."""
     base: dict[str, Any] = {"may_probe": True, "report_fields": ("utilization",)}
-    module_settings = settings(**(base | kw))
+    module_settings = settings(**(base | changes))
     gossip = Gossip(module_settings)
     return Probes(
         module_settings, Health(module_settings, ZoneReachability(), gossip, QueueWaits(gossip), ReadPaces())
@@ -159,9 +159,11 @@
     assert [worker.info.id for worker in probes.due(writers, Random(1), NOW)] == [6, 5, 4, 3, 2, 1]
 
 
-@pytest.mark.parametrize("kw", [{"may_probe": False}, {"report_fields": ()}, {"reports_in_answers": True}])
-def test_load_is_not_probed_for_where_that_is_not_allowed_or_not_needed(kw: dict[str, Any]) -> None:
-    assert make_probes(**kw).due([make_worker(1)], Random(1), NOW) == []
+@pytest.mark.parametrize(
+    "changes", [{"may_probe": False}, {"report_fields": ()}, {"reports_in_answers": True}]
+)
+def test_load_is_not_probed_for_where_that_is_not_allowed_or_not_needed(changes: dict[str, Any]) -> None:
+    assert make_probes(**changes).due([make_worker(1)], Random(1), NOW) == []
 
 
 def test_readers_are_probed_for_load_only_where_reports_include_queues() -> None:
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -12,19 +12,19 @@
 from hypothesis import strategies as st
 
 from hopshed.backlog import MAX_QUEUE_S, UNEXPLAINED_DECAY_S, Backlog
-from hopshed.gossip import MOST_STEPS, NO_PREFIX, READING, READING_BYTES, Gossip, ReadSent, short_tag
+from hopshed.gossip import MAX_STEPS, NO_PREFIX, READ_KIND, READ_MESSAGE_BYTES, Gossip, ReadSent, short_tag
 from hopshed.interface import ListKind, Log, Outcome, PeerSaid, Role, Send, ServersListed, StreamStarted, Tell
-from hopshed.popularity import DOUBT, DROPPED, Popularity
+from hopshed.popularity import EXPIRY_S, PRIOR_REQUESTS, Popularity
 from hopshed.prefix_cache import MAX_ENTRIES, PrefixCacheIndex
 from hopshed.read_pace import ReadPaces
 from hopshed.rendezvous import Rendezvous
 from hopshed.state import Worker
-from hopshed.topology import LEAN_LEAST, LEAN_MOST, Topology
-from hopshed.zone_reachability import AVOIDED_FOR, ZoneReachability
+from hopshed.topology import MAX_HOME_WEIGHT, MIN_HOME_WEIGHT, Topology
+from hopshed.zone_reachability import AVOID_FOR_S, ZoneReachability
 
 READERS = tuple(server(n, 0) for n in range(1, 9))
 FLEET = (*READERS, server(11, 1), server(12, 1))
-STEP = 0.2  # s; the step of reported reads, with 40 routers and the request class of helpers.py
+STEP_S = 0.2  # the step of reported reads, with 40 routers and the request class of helpers.py
 
 
 def gossip(*servers: int, **changes: Any) -> Gossip:
@@ -99,32 +99,32 @@
 
 def test_a_read_message_is_decoded_as_it_was_encoded() -> None:
     one, other = gossip(7, 8), gossip(7, 8)
-    message = one.read_message(7, 4 * STEP, "manual", 0.0)
-    assert message is not None and len(message) == READING_BYTES
+    message = one.read_message(7, 4 * STEP_S, "manual", 0.0)
+    assert message is not None and len(message) == READ_MESSAGE_BYTES
     received = other.receive(message, 1.0)
     assert isinstance(received, ReadSent) and (received.servers, received.prefix_tag) == (
         (7,),
         short_tag("manual"),
     )
-    assert received.work == pytest.approx(4 * STEP)
-    received = other.receive(one.read_message(8, 2 * STEP, None, 0.0) or b"", 1.0)
+    assert received.work == pytest.approx(4 * STEP_S)
+    received = other.receive(one.read_message(8, 2 * STEP_S, None, 0.0) or b"", 1.0)
     assert isinstance(received, ReadSent) and (received.servers, received.prefix_tag) == ((8,), NO_PREFIX)
 
 
 def test_small_reads_are_reported_at_random_and_add_up() -> None:
     """Reporting all would double the cost; reporting none would make servers that read them look idle."""
     one, other, draw = gossip(7), gossip(7), Random(3)
-    messages = [one.read_message(7, 0.2 * STEP, None, draw.random()) for _ in range(4000)]
+    messages = [one.read_message(7, 0.2 * STEP_S, None, draw.random()) for _ in range(4000)]
     arrived = [other.receive(message, 1.0) for message in messages if message is not None]
     assert len(arrived) < 1200
     assert sum(received.work for received in arrived if isinstance(received, ReadSent)) == pytest.approx(
-        800 * STEP, rel=0.1
+        800 * STEP_S, rel=0.1
     )
 
 
 def test_a_read_of_any_length_fits_in_the_message() -> None:
     message = gossip(7).read_message(7, 1e9, None, 0.5)
-    assert message is not None and message[1] == MOST_STEPS
+    assert message is not None and message[1] == MAX_STEPS
 
 
 @pytest.mark.parametrize("changes", [{"may_tell": False}, {"instances": 1}])
@@ -137,7 +137,7 @@
     bench = one_of_many()
     before = [(worker.info.id, worker.backlog.total_sent) for worker in bench.controller.workers.values()]
     known = {short_tag(str(n)) for n in bench.controller.workers}
-    assert not only(bench.do(PeerSaid(3, READING + data)), Log)
+    assert not only(bench.do(PeerSaid(3, READ_KIND + data)), Log)
     if data[1:3].hex() not in known:
         assert [
             (worker.info.id, worker.backlog.total_sent) for worker in bench.controller.workers.values()
@@ -212,8 +212,8 @@
         and received.servers == tuple(bench.attempts["r"])
         and received.prefix_tag == short_tag("manual")
     )
-    assert received.work == pytest.approx(0.8, abs=STEP)
-    assert not [a for a in only(bench.read("r", after=0.8), Tell) if a.data[:1] == READING]
+    assert received.work == pytest.approx(0.8, abs=STEP_S)
+    assert not [a for a in only(bench.read("r", after=0.8), Tell) if a.data[:1] == READ_KIND]
 
 
 def test_a_new_process_has_no_backlog_and_an_empty_cache() -> None:
@@ -296,7 +296,7 @@
 def test_routers_that_meet_each_server_often_stay_with_a_home_that_is_in_time() -> None:
     """Four routers that all chose the lowest cost left homes too often; a simulated score fell by 0.10."""
     home = home_of("manual")
-    for gap, keeps in ((0.1, True), (1.0, False)):  # s between its arrivals, with eight readers
+    for gap, keeps in ((0.1, True), (1.0, False)):  # seconds between its arrivals, with eight readers
         bench = one_of_many()
         bench.controller.waits.mean_arrival_gap, bench.controller.waits.last_arrival = gap, bench.now - gap
         report_read(bench, home, 0.2)
@@ -305,7 +305,7 @@
 
 
 def test_the_step_of_reported_reads_grows_with_the_number_of_routers() -> None:
-    steps = [gossip(7, instances=n)._step for n in (2, 20, 40, 60, 400)]
+    steps = [gossip(7, instances=n)._step_s for n in (2, 20, 40, 60, 400)]
     assert steps == pytest.approx([0.1, 0.1, 0.2, 0.3, 0.3])
 
 
@@ -328,12 +328,12 @@
     assert only(bench.arrive("long", prompt_tokens=15000.0), Send)  # 1.5 s of 1.6
 
 
-def test_the_end_of_our_read_leaves_the_reads_of_others_sent_after_it() -> None:
+def test_the_end_of_a_read_leaves_the_reads_of_other_routers_sent_after_it() -> None:
     """The server was slower than expected; the time since sending alone would leave no backlog."""
     bench = one_of_many()
     bench.arrive("r")
     worker = bench.controller.workers[bench.attempts["r"][0]]
-    report_read(bench, worker.info.id, 0.7)  # s, which is reported as three steps
+    report_read(bench, worker.info.id, 0.7)  # seconds, reported as three steps
     bench.read("r", after=3.0)
     assert (worker.backlog.queue, worker.backlog.at) == pytest.approx((0.6, bench.now))
 
@@ -344,7 +344,7 @@
     bench.arrive("r")
     worker = bench.controller.workers[bench.attempts["r"][0]]
     assert worker.role is Role.MIXED
-    report_read(bench, worker.info.id, 0.7)  # s, which is reported as three steps
+    report_read(bench, worker.info.id, 0.7)  # seconds, reported as three steps
     bench.do(StreamStarted("r", 0, worker.info.id, 3.0), at=bench.now + 3.0)
     assert (worker.backlog.queue, worker.backlog.at) == pytest.approx((0.6, bench.now))
 
@@ -378,10 +378,11 @@
     counts = Popularity()
     for n in range(100):
         counts.prefix_arrived("common" if n % 2 else f"text {n}", 10.0)
-    assert counts.home_count("common", 20, 10.0) == round(49 / (100 + DOUBT) * 20)
+    assert counts.home_count("common", 20, 10.0) == round(49 / (100 + PRIOR_REQUESTS) * 20)
     assert counts.home_count("text 2", 20, 10.0) == counts.home_count("new", 20, 10.0) == 1
-    assert counts.home_count(None, 20, 10.0) == round(99 / (100 + DOUBT) * 20)  # a home for each session
-    counts.expire(10.0 + DROPPED + 1)
+    # Without a prefix each session has a home of its own.
+    assert counts.home_count(None, 20, 10.0) == round(99 / (100 + PRIOR_REQUESTS) * 20)
+    counts.expire(10.0 + EXPIRY_S + 1)
     assert not counts.seen
 
 
@@ -392,8 +393,11 @@
     topology = Topology()
     topology.rebuild(workers)
     assert topology.cell_balance(workers[0]) == pytest.approx((2 / 3) / (1 / 2))
-    assert topology.home_weight(workers[0]) == LEAN_MOST and topology.home_weight(workers[3]) == LEAN_LEAST
-    assert topology.home_weight(workers[4]) == LEAN_MOST  # no reader there
+    assert (
+        topology.home_weight(workers[0]) == MAX_HOME_WEIGHT
+        and topology.home_weight(workers[3]) == MIN_HOME_WEIGHT
+    )
+    assert topology.home_weight(workers[4]) == MAX_HOME_WEIGHT  # no reader there
 
 
 # ---- paces, cached prefixes, zones ----
@@ -427,10 +431,10 @@
         index.record_use(n, short_tag("manual"), float(n))
     assert (
         len(index.uses) == MAX_ENTRIES
-        and index.holds(MAX_ENTRIES + 9, "manual")
-        and not index.holds(9, "manual")
+        and index.is_cached(MAX_ENTRIES + 9, "manual")
+        and not index.is_cached(9, "manual")
     )
-    assert not index.holds(MAX_ENTRIES + 9, None) and not index.holds(MAX_ENTRIES + 9, "other")
+    assert not index.is_cached(MAX_ENTRIES + 9, None) and not index.is_cached(MAX_ENTRIES + 9, "other")
 
 
 ZONES = (*(server(n, 0, zone=n % 2) for n in range(1, 9)), server(11, 1, zone=0), server(12, 1, zone=1))
@@ -458,7 +462,7 @@
 
 
 def test_a_zone_with_two_silent_servers_is_avoided_and_tried_again() -> None:
-    for silent, later, zones in (((1,), 0, {0, 1}), ((1, 3), 0, {0}), ((1, 3), AVOIDED_FOR + 0.1, {0, 1})):
+    for silent, later, zones in (((1,), 0, {0, 1}), ((1, 3), 0, {0}), ((1, 3), AVOID_FOR_S + 0.1, {0, 1})):
         bench = Bench(ZONES)  # one silent server does not make a zone unreachable
         for number in silent:
             bench.controller.zones.attempt_unanswered(1, number, 0.25, bench.now)
--- a/tests/test_release_call.py
+++ b/tests/test_release_call.py
@@ -192,8 +192,8 @@
         assert fleet.result is Result.ABANDONED
         return
     assert fleet.result is Result.CONFIRMED
-    told = [at for at, address in fleet.calls if fleet.workers[address] is Behavior.CONFIRMS]
-    assert told[0] <= limit and fleet.calls[-1][0] <= told[0] + 2 * ANSWER_TIME_S
+    confirming_calls = [at for at, address in fleet.calls if fleet.workers[address] is Behavior.CONFIRMS]
+    assert confirming_calls[0] <= limit and fleet.calls[-1][0] <= confirming_calls[0] + 2 * ANSWER_TIME_S
 
 
 @given(silent=st.integers(0, 4), limit=st.floats(0.3, 4.0))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -43,7 +43,7 @@
         self.may_run = {}  # request -> whether an attempt may have had an effect that must not be repeated
         self.count = 0  # requests so far
 
-    def note(self, actions):
+    def check_actions(self, actions):
         """Check the actions, and what is overdue."""
         now = self.bench.now
         for action in actions:
@@ -80,7 +80,7 @@
         request = f"r{self.count}"
         self.open.add(request)
         self.deadline[request] = self.bench.now + patience
-        self.note(self.bench.arrive(request, session=f"s{self.count % 4}", patience=patience))
+        self.check_actions(self.bench.arrive(request, session=f"s{self.count % 4}", patience=patience))
 
     def end(self, pick, outcome):
         """One of the attempts in flight ends."""
@@ -99,21 +99,21 @@
         if outcome is Outcome.OK:
             self.open.discard(request)
             self.held.pop(request, None)
-        self.note(self.bench.do(AttemptEnded(request, number, sent_to, outcome, 0.05, closed)))
+        self.check_actions(self.bench.do(AttemptEnded(request, number, sent_to, outcome, 0.05, closed)))
 
     def gone(self, pick):
         """The client of an open request leaves."""
         if self.open:
             request = sorted(self.open)[pick % len(self.open)]
             self.open.discard(request)
-            self.note(self.bench.do(ClientGone(request)))
+            self.check_actions(self.bench.do(ClientGone(request)))
 
     def drain(self, pick):
         """A server begins to drain."""
         info = FLEET[pick % len(FLEET)]
         self.draining[info.id] = self.bench.now
         drained = server(info.id, info.kind, state=ServerState.DRAINING)
-        self.note(self.bench.do(ServersListed(ListKind.CHANGES, (drained,))))
+        self.check_actions(self.bench.do(ServersListed(ListKind.CHANGES, (drained,))))
 
     def wait(self, seconds):
         """Time passes; attempts end at their client's deadline, as a router would end them."""
@@ -130,7 +130,7 @@
             self.bench.now = step
             for request in [one for one in sorted(self.out) if self.deadline[one] <= self.bench.now]:
                 self.end(sorted(self.out).index(request), Outcome.TIMED_OUT)
-            self.note(self.bench.tick(step))
+            self.check_actions(self.bench.tick(step))
 
 
 STEP = st.one_of(
@@ -175,7 +175,7 @@
 
 
 class IgnoresChanges(Controller):
-    """Does not take in changes to the server list."""
+    """Ignores changes to the server list."""
 
     def _servers_listed(self, event, now):
         if event.kind is not ListKind.CHANGES:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -86,7 +86,7 @@
     assert used < MAX_MEMORY_BYTES
 
 
-def test_a_hand_over_holds_1024_workers_and_what_was_learnt_of_each() -> None:
+def test_a_hand_over_holds_1024_workers_and_what_was_learned_of_each() -> None:
     settings = wire.settings(ENV | {"instances": COUNT})
     module = Controller(settings, 1)
     servers = tuple(
--- a/yewhook/core/held_state.py
+++ b/yewhook/core/held_state.py
@@ -44,7 +44,7 @@
 
     @property
     def due(self) -> float:
-        """The time by which workers must have been told; infinity if no state can be held."""
+        """The time by which workers must have been told to release it; infinity if no state can be held."""
         return float("inf") if self.since is None else self.since + self.limit
 
     def attempt_ended(self, outcome: Outcome, at_reader: bool, sent_at: float, now: float) -> None:
--- a/yewhook/core/ports.py
+++ b/yewhook/core/ports.py
@@ -84,12 +84,12 @@
     """Receives the stream events and the end of each attempt; implemented by `Router`."""
 
     def stream_event(self, request_id: str, number: int, data: object) -> bool:
-        """Take one event of the attempt's stream; returns False where it is not passed to the client."""
+        """Process one event of the attempt's stream; returns False where it is not passed to the client."""
 
     def attempt_ended(
         self, request_id: str, number: int, ending: Ending, note: int = 0, load: Load | None = None
     ) -> None:
-        """Take the end of an attempt; called once for each."""
+        """Process the end of an attempt; called once for each."""
 
 
 class Governor(Protocol):
@@ -101,7 +101,7 @@
         """Return the events that `hopshed` is to handle in this turn."""
 
     def observe_actions(self, now: float, actions: Sequence[Action]) -> None:
-        """Take the actions that `hopshed` answered them with."""
+        """Observe the actions with which `hopshed` answered them."""
 
     def start_over(self) -> None:
         """Forget all open requests and report the level anew: `hopshed` failed and has been restarted."""
--- a/yewhook/core/release_call.py
+++ b/yewhook/core/release_call.py
@@ -22,9 +22,7 @@
 FULL_BATCH_STEP = 4  # the step after which `MAX_BATCH` workers are called at once
 MAX_CALL_STEPS = 4  # steps that a call may take if all workers are being called
 LATE_STEP_S = 1.0  # to the next worker once the release is overdue
-ABANDON_AFTER_S = (
-    5.0  # overdue time after which the release is abandoned: no worker has answered in all of it
-)
+ABANDON_AFTER_S = 5.0  # an overdue release is abandoned after this: no worker has confirmed in all of it
 
 
 class Result(Enum):
@@ -91,7 +89,7 @@
     """The state of one release. All times are seconds of the loop's clock."""
 
     begin_at: float
-    due: float  # when a worker must have been told
+    due: float  # by when a worker must have been told to release the state
     open_calls: dict[tuple[str, int], float] = field(default_factory=dict)  # worker -> begin, oldest first
     tried: dict[tuple[str, int], Hashable] = field(default_factory=dict)  # worker -> group, of this round
     calls_made: int = 0
--- a/yewhook/core/request_records.py
+++ b/yewhook/core/request_records.py
@@ -19,7 +19,7 @@
 
     ACCEPTED = auto()  # not yet passed to `hopshed`
     DECIDING = auto()  # `hopshed` holds it, or decides where to send it next
-    ATTEMPT_OUT = auto()
+    ATTEMPT_OUT = auto()  # an attempt is out, and the response has not begun
     STREAMING = auto()  # the response has begun; the request is not sent to another server any more
     ENDED = auto()  # the final answer has been given, or the client has left
 
--- a/yewhook/core/router.py
+++ b/yewhook/core/router.py
@@ -46,9 +46,8 @@
         """`clock` returns the loop's time in seconds; `seed` is passed to `hopshed`'s `Controller`."""
         self.settings, self.workers, self.log = settings, workers, log
         self.governor: Governor | None = None  # set where levels of service are enabled
-        self.tell: Callable[[bytes], None] = lambda data: (
-            None
-        )  # sends a message to all other routers, where the front can
+        # Sends a message to all other routers, where the front can.
+        self.tell: Callable[[bytes], None] = lambda data: None
         self.requests: dict[str, RequestRecord] = {}
         self.table = ServerTable()
         self._spent = SpentIds()
@@ -151,7 +150,7 @@
     # ---- events from workers, discovery and other routers ----
 
     def servers_listed(self, kind: interface.ListKind, servers: tuple[interface.Server, ...]) -> None:
-        """Take a list of servers, or changes to it, that has just come from discovery.
+        """Process a list of servers, or changes to it, that has just come from discovery.
 
         Attempts at servers that now drain or are gone are withdrawn if no byte has been written yet.
         """
@@ -170,24 +169,24 @@
                 self.attempt_ended(record.id, out.number, Ending.SERVER_LEFT)
 
     def split_learned_state(self) -> LearnedState:
-        """What `hopshed` has learnt, for a successor that runs beside this router.
+        """What `hopshed` has learned, for a successor that runs beside this router.
 
         Half of the budget of each cold server is given up to the successor.
         """
         return split_state(self._module)
 
     def export_learned_state(self) -> LearnedState:
-        """What `hopshed` has learnt, for a process that starts after this one has exited."""
+        """What `hopshed` has learned, for a process that starts after this one has exited."""
         return export_state(self._module)
 
     def merge_learned_state(self, known: LearnedState) -> None:
-        """Add what an earlier process learnt; what this router has learnt itself takes precedence."""
+        """Add what an earlier process learned; what this router has learned itself takes precedence."""
         merge_state(self._module, known)
 
     def resume(self, withdrawn_since: dict[int, float], known: LearnedState) -> None:
-        """Continue with what a predecessor learnt; call this after its server list has been passed on.
+        """Continue with what a predecessor learned; call this after its server list has been passed on.
 
-        Raises ValueError if `known` was learnt with other settings.
+        Raises ValueError if `known` was learned with other settings.
         """
         self.table.resume(withdrawn_since)
         self.turn(self._clock())
@@ -204,7 +203,7 @@
             self.workers.forget(number)
 
     def peer_message(self, sender: int, data: bytes) -> None:
-        """Take a message from another router."""
+        """Process a message from another router."""
         self._events.append(interface.PeerSaid(sender, data))
 
     def stream_event(self, request_id: str, number: int, data: object) -> bool:
@@ -228,7 +227,7 @@
     def attempt_ended(
         self, request_id: str, number: int, ending: Ending, note: int = 0, load: interface.Load | None = None
     ) -> None:
-        """Take the end of an attempt; the end of one that is not out is ignored."""
+        """Process the end of an attempt; the end of one that is not out is ignored."""
         record, attempt = self._find_attempt(request_id, number)
         if record is None or attempt is None:
             return
