--- a/hopshed/backlog.py
+++ b/hopshed/backlog.py
@@ -2,7 +2,7 @@
 
 One of many routers sends each server a read only now and then, too rarely to know its queue from its own
 reads: a few waits at busy servers would count for all servers, idle ones would be passed over and turns
-refused, and the others would be crowded. Each router therefore reports its reads to the others (`gossip.py`).
+refused, and the others would be overloaded. Each router therefore reports its reads to all (`gossip.py`).
 Servers read in the order of arrival, so the queue is what was sent, less the time since. Errors of this model
 (a slow server, lost messages) are measured when a read of this router ends, and decay.
 """
--- a/hopshed/control.py
+++ b/hopshed/control.py
@@ -247,7 +247,7 @@
         aim = self.settings.classes[event.cls].aim_of(event.prompt_tokens)
         tenant = min(event.tenant, len(self.leaving_share) - 1)
         if self.leaving_share[tenant] > MAX_LEAVING_SHARE:
-            aim = min(aim, self.mean_leaving_age[tenant])  # later reads would run on and serve nobody
+            aim = min(aim, self.mean_leaving_age[tenant])  # later reads would run on, their clients gone
         if event.resumed:  # a refusal loses the worth of what was streamed elsewhere, lateness only a part
             aim = min(RESUMED_AIM_FACTOR * aim, event.patience)
         request = self.requests[event.id] = Request(event, tenant, now, now + event.patience, now + aim)
@@ -475,7 +475,7 @@
         return self.room.smoothed(role, self.pool(role, now), now)
 
     def _admit_held(self, now: float) -> None:
-        """Admit held requests while there is room for their streams; `free` is the room, by "is mixed"."""
+        """Admit held requests while `free` has room for them: True = at mixed servers, False = at writers."""
         if not self.queue.count:
             return self.queue.compact()
         free = {True: self._room(Role.MIXED, now), False: self._room(Role.WRITER, now) - self.reads_in_flight}
@@ -499,11 +499,11 @@
     def _dispatch(self, request: Request, free: dict[bool, float], now: float) -> bool | None:
         """Send a request to a reader or a mixed server; returns whether mixed, or None if it is rejected."""
         room, last = {kind: max(0.0, free[kind]) for kind in free}, self._last_reader(request)
-        first = self.random.random() * (room[True] + room[False]) < room[True]
+        mixed_first = self.random.random() * (room[True] + room[False]) < room[True]
         if last is not None and room[last.role is Role.MIXED] > 0:
-            first = last.role is Role.MIXED
+            mixed_first = last.role is Role.MIXED
         choices = []
-        for mixed in (first, not first) if room[not first] > 0 else (first,):
+        for mixed in (mixed_first, not mixed_first) if room[not mixed_first] > 0 else (mixed_first,):
             worker, share = self._reader(request, mixed, request.first_token_due, now)
             choices += [(share, worker)] if worker is not None else []
             if share <= ACCEPT_SHARE:
@@ -560,7 +560,7 @@
             pool = self.room.with_room(pool, now) or pool
         if not pool:
             return None, math.inf
-        backlogs = self.waits.uses_backlog(pool[0]) and self.waits.meets_servers_rarely(
+        backlogs = self.waits.uses_backlog(pool[0]) and self.waits.sends_rarely(
             self.topology.running[Role.READER] + self.topology.running[Role.MIXED]
         )
         pool = self._candidates(request, pool, BACKLOG_SPARE_HOMES if backlogs else SPARE_HOMES, now)
--- a/hopshed/gossip.py
+++ b/hopshed/gossip.py
@@ -1,7 +1,7 @@
 """Messages between routers about failing servers, long waits and reads. No clock, no I/O.
 
 One of many routers sends to each server too rarely to detect alone which servers fail: of the unsafe
-requests that such servers spoil, nine in ten are sent after another router has seen the server fail. So
+requests that such servers fail, nine in ten are sent after another router has seen the server fail. So
 failures are reported to all routers, which suspect the server for a while. Long waits at a server are
 reported too, as otherwise each router would have to wait there to learn of them.
 
--- a/hopshed/queue_waits.py
+++ b/hopshed/queue_waits.py
@@ -40,14 +40,14 @@
         """Whether a server's wait is computed from the reads that all routers report by gossip."""
         return self._gossip.enabled and worker.role is not Role.WRITER
 
-    def meets_servers_rarely(self, servers: int) -> bool:
+    def sends_rarely(self, servers: int) -> bool:
         """Whether this router sends to each of so many servers too rarely to learn its wait by itself."""
         return self.mean_arrival_gap * servers > WAIT_DECAY_S
 
     def of_server(self, worker: Worker, now: float) -> float:
         """The expected wait at a server: its backlog, or the wait learned there, which decays to its role's.
 
-        One of many routers meets each server too rarely to rely on what it learned there."""
+        One of many routers sends to each server too rarely to rely on what it learned there."""
         if self.uses_backlog(worker):
             return worker.backlog.wait(now)
         fresh = math.exp((worker.wait_at - now) / WAIT_DECAY_S)
--- a/hopshed/read_pace.py
+++ b/hopshed/read_pace.py
@@ -31,7 +31,7 @@
             self.measured.add(role)
 
     def lower_if_uncertain(self) -> None:
-        """Lower an uncertain pace after a refusal: one read that had queued would cause refusals for ever."""
+        """Lower an uncertain pace after a refusal: one read that had queued would cause lasting refusals."""
         if self.samples < CERTAIN_SAMPLES:
             self.by_role = {role: pace * UNCERTAIN_FACTOR for role, pace in self.by_role.items()}
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -182,11 +182,13 @@
         self.router.servers_listed(interface.ListKind.FULL, FLEET)
 
     def accept(self, cls: int = 0, request_id: str = "a") -> None:
+        """Accept a request, and let the controller handle its arrival; class 0 is safe, class 1 unsafe."""
         arrived = interface.RequestArrived(request_id, cls, 0, "s", 8.0, 100.0)
         assert self.router.accept(arrived, self.client, "call")
         self.run_actions()
 
     def run_actions(self, *actions: interface.Action) -> None:
+        """Let the controller return these actions, and run turns until no event is left."""
         self.module.actions = list(actions)
         if actions:
             self.router._events.append(interface.TimerFired(0))  # the controller is called for an event only
@@ -194,17 +196,20 @@
             pass
 
     def wait(self, seconds: float) -> None:
+        """Move the clock on, call what is due by then, and run turns until no event is left."""
         self.now += seconds
         for call in self.deadlines.pop_due(self.now):
             call()
         self.run_actions()
 
     def outcomes(self) -> list[Outcome]:
+        """The outcomes reported to the controller so far."""
         return [e.outcome for e in self.module.events if isinstance(e, interface.AttemptEnded)]
 
 
 @pytest.fixture
 def core() -> CoreHarness:
+    """The core, with no request yet."""
     return CoreHarness()
 
 
@@ -516,15 +521,15 @@
 
 
 def test_deadlines_come_due_in_order_and_can_be_canceled() -> None:
-    deadlines, heard = Deadlines(), list[str]()
-    deadlines.set(2.0, lambda: heard.append("b"))
-    first = deadlines.set(1.0, lambda: heard.append("a"))
-    gone = deadlines.set(1.5, lambda: heard.append("gone"))
+    deadlines, called = Deadlines(), list[str]()
+    deadlines.set(2.0, lambda: called.append("b"))
+    first = deadlines.set(1.0, lambda: called.append("a"))
+    gone = deadlines.set(1.5, lambda: called.append("gone"))
     deadlines.cancel(gone)
     assert deadlines.next_due() == first.at
     for call in deadlines.pop_due(2.0):
         call()
-    assert heard == ["a", "b"] and deadlines.next_due() is None
+    assert called == ["a", "b"] and deadlines.next_due() is None
 
 
 def test_the_repeat_of_a_keyed_request_times_out_when_its_window_ends(core: CoreHarness) -> None:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -152,6 +152,7 @@
 
 @pytest.fixture
 def peer_socket() -> Iterator[tuple[Loop, Peers, socket.socket, list[tuple[int, bytes]]]]:
+    """A router's loop and message socket, the socket of another router, and the messages received."""
     received: list[tuple[int, bytes]] = []
     other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     other.bind(("127.0.0.1", 0))
@@ -172,11 +173,11 @@
 ) -> None:
     loop, peers, other, received = peer_socket
     peers.tell(b"F12345678")
-    data, ours = other.recvfrom(300)
+    data, listening = other.recvfrom(300)
     assert data == b"F12345678"
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        stranger.sendto(b"F87654321", ours)  # not a router's address: ignored
-    other.sendto(b"Fabcdefgh", ours)
+        stranger.sendto(b"F87654321", listening)  # not a router's address: ignored
+    other.sendto(b"Fabcdefgh", listening)
     deadline = time.monotonic() + 5.0
     while not received and time.monotonic() < deadline:
         loop.run_turn(0.05)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -32,10 +32,12 @@
 
 
 def make_worker(number: int, role: Role = Role.WRITER, state: ServerState = ServerState.RUNNING) -> Worker:
+    """A server of this role, of which nothing is known."""
     return Worker(server(number, KINDS[role], state=state), role, NOW, -math.inf)
 
 
 def make_health(**changes: Any) -> Health:
+    """Outlier detection on its own; `changes` replaces fields of the settings."""
     module_settings = settings(**changes)
     gossip = Gossip(module_settings)
     return Health(module_settings, ZoneReachability(), gossip, QueueWaits(gossip), ReadPaces())
@@ -112,12 +114,12 @@
 
 
 def test_lost_probes_eject_a_server_only_without_other_signs_of_life() -> None:
-    health, silent, heard = make_health(may_probe=True), make_worker(1), make_worker(2)
+    health, silent, answering = make_health(may_probe=True), make_worker(1), make_worker(2)
     now = NOW + SILENT_AFTER_S + 0.1
-    health.attempt_succeeded(heard, now)
+    health.attempt_succeeded(answering, now)
     lost = [
         [health.probe_ended(worker, False, now) for _ in range(PROBE_FAILURES_MAX)]
-        for worker in (silent, heard)
+        for worker in (silent, answering)
     ]
     assert lost == [[False] * (PROBE_FAILURES_MAX - 1) + [True], [False] * PROBE_FAILURES_MAX]
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -246,12 +246,12 @@
     other.set_weights(dict(reversed(everything.items())))
     gone = seed
     less.set_weights({n: part for n, part in everything.items() if n != gone})
-    for text in (f"text {n}" for n in range(60)):
-        order = one.order(text)
-        assert order == other.order(text)
+    for key in (f"text {n}" for n in range(60)):
+        order = one.order(key)
+        assert order == other.order(key)
         first = order[0]
         if first != gone:
-            assert less.order(text)[0] == first
+            assert less.order(key)[0] == first
 
 
 def simulate(with_gossip: bool, turns: int = 600) -> tuple[int, list[float]]:
@@ -268,18 +268,18 @@
             bench = routers[router]
             bench.end(request, Outcome.READ, after=at - bench.now, note=hit)
             bench.end(request, Outcome.OK, after=0.0, closed=True)
-        text = "common" if random.random() < 0.5 else f"text {random.randrange(40)}"
+        prefix = "common" if random.random() < 0.5 else f"text {random.randrange(40)}"
         bench, request = routers[step % 40], f"r{step}"
         bench.now = now
-        actions = bench.arrive(request, prefix=text, prefix_tokens=1500.0, prompt_tokens=2200.0)
+        actions = bench.arrive(request, prefix=prefix, prefix_tokens=1500.0, prompt_tokens=2200.0)
         for message in only(actions, Tell):
             for other in routers:
                 if other is not bench:
                     other.do(PeerSaid(step % 40, message.data), at=now)
         if request in bench.attempts:
             number = bench.attempts[request][0]
-            hit = 1500.0 if (number, text) in cached else 0.0
-            cached.add((number, text))
+            hit = 1500.0 if (number, prefix) in cached else 0.0
+            cached.add((number, prefix))
             free[number] = max(free[number], now) + (2200.0 - hit) * 1e-4
             times.append(free[number] - now)
             heappush(running, (free[number], step % 40, request, hit))
@@ -293,7 +293,7 @@
     assert sum(wait > 0.8 for wait in waits) < sum(wait > 0.8 for wait in waited) / 2
 
 
-def test_routers_that_meet_each_server_often_stay_with_a_home_that_is_in_time() -> None:
+def test_routers_that_send_to_each_server_often_stay_with_a_home_that_is_in_time() -> None:
     """Four routers that all chose the lowest cost left homes too often; a simulated score fell by 0.10."""
     home = home_of("manual")
     for gap, keeps in ((0.1, True), (1.0, False)):  # seconds between its arrivals, with eight readers
@@ -325,7 +325,7 @@
     """The read's time is known and may take most of the aim; with a margin, half of them were refused."""
     bench = one_of_many(may_tell=with_gossip)
     bench.controller.waits.mean_arrival_gap = 1.0
-    assert only(bench.arrive("long", prompt_tokens=15000.0), Send)  # 1.5 s of 1.6
+    assert only(bench.arrive("long", prompt_tokens=15000.0), Send)  # takes 1.5 seconds, the aim is 1.6
 
 
 def test_the_end_of_a_read_leaves_the_reads_of_other_routers_sent_after_it() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -62,6 +62,7 @@
 
 @pytest.fixture
 def p() -> Iterator[Platform]:
+    """One of `COUNT` routers, with a reader and a writer."""
     played = Platform({"reader": "prefill", "writer": "decode"}, routers=COUNT)
     yield played
     played.end()
@@ -110,7 +111,7 @@
 
 
 def test_messages_of_1024_routers_are_attributed_to_their_senders() -> None:
-    loop, heard = Loop(Log("test")), list[tuple[int, bytes]]()
+    loop, received = Loop(Log("test")), list[tuple[int, bytes]]()
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(COUNT)]
     try:
         for sock in socks:
@@ -119,15 +120,15 @@
             free.bind(("127.0.0.1", 0))
             listen = free.getsockname()
         addresses = tuple(sock.getsockname() for sock in socks)
-        peers = Peers(loop, listen, addresses, listen, lambda number, data: heard.append((number, data)))
+        peers = Peers(loop, listen, addresses, listen, lambda number, data: received.append((number, data)))
         for first in range(0, COUNT, MESSAGES_AT_A_TIME):
             for number in range(first, first + MESSAGES_AT_A_TIME):
                 socks[number].sendto(number.to_bytes(2, "big"), listen)
             end = time.monotonic() + 5.0
-            while len(heard) < first + MESSAGES_AT_A_TIME and time.monotonic() < end:
+            while len(received) < first + MESSAGES_AT_A_TIME and time.monotonic() < end:
                 loop.run_turn(0.01)
         peers.close()
-        assert heard == [(number, number.to_bytes(2, "big")) for number in range(COUNT)]
+        assert received == [(number, number.to_bytes(2, "big")) for number in range(COUNT)]
     finally:
         for sock in socks:
             sock.close()
--- a/tests/test_send_rules.py
+++ b/tests/test_send_rules.py
@@ -100,6 +100,7 @@
 
 
 def server(number: int, state: ServerState = ServerState.RUNNING) -> Server:
+    """A server as discovery lists it."""
     return Server(number, 0, 0, 0, state)
 
 
