--- a/hopshed/backlog.py
+++ b/hopshed/backlog.py
@@ -15,7 +15,7 @@
 from .estimate import Estimate
 
 MAX_QUEUE_S = 10.0  # bounds the effect of wrong or missing messages
-READ_RATE_TIME_CONSTANT_S = 5.0  # of the share of its time that a server reads
+READ_RATE_TIME_CONSTANT_S = 5.0  # time constant of the share of its time that a server reads
 SLOWDOWN_GAIN = 0.5  # weight of one read's slowdown
 SLOWDOWN_DECAY_S = 10.0  # time constant of the slowdown
 MAX_SLOWDOWN = 10.0  # upper bound of one read's slowdown
--- a/hopshed/control.py
+++ b/hopshed/control.py
@@ -553,19 +553,19 @@
     def _reader(self, request: Request, mixed: bool, due: float, now: float) -> tuple[Worker | None, float]:
         """The reader for a turn, and the share of the time until `due` that its read is expected to take.
 
-        The session's last reader, else its home, else the next in hash order, none above READ_BOUND.
+        The session's last reader, else its home, else the next in hash order, none with too many reads.
         Departure: if all take over ACCEPT_SHARE, the fastest of these, as others have nothing cached."""
         pool = self.pool(Role.MIXED if mixed else Role.READER, now, request)
         if mixed:  # a home must not take reads beyond its room, which would slow all its answers
             pool = self.room.with_room(pool, now) or pool
         if not pool:
             return None, math.inf
-        backlogs = self.waits.uses_backlog(pool[0]) and self.waits.sends_rarely(
+        by_backlog = self.waits.uses_backlog(pool[0]) and self.waits.sends_rarely(
             self.topology.running[Role.READER] + self.topology.running[Role.MIXED]
         )
-        pool = self._candidates(request, pool, BACKLOG_SPARE_HOMES if backlogs else SPARE_HOMES, now)
+        pool = self._candidates(request, pool, BACKLOG_SPARE_HOMES if by_backlog else SPARE_HOMES, now)
         fetch = 0.0 if mixed else self.waits.of_role(Role.WRITER, now)
-        aim_share = BACKLOG_AIM_SHARE if backlogs else AIM_SHARE
+        aim_share = BACKLOG_AIM_SHARE if by_backlog else AIM_SHARE
         left = (min((due - now) * aim_share, request.deadline - now) - fetch) * (
             1 - OVER_QUOTA_CUT * request.over_quota
         )
@@ -575,7 +575,7 @@
         pace = self.paces.by_role[pool[0].role]
         reads = [tokens * pace * w.backlog.slowdown(now) for w, tokens in zip(pool, fresh, strict=True)]
         in_time = [n for n, wait in enumerate(expected) if wait - reads[n] * (1 - aim_share) <= left]
-        if backlogs:  # departure: the lowest cost, as the backlogs that all routers share are reliable
+        if by_backlog:  # departure: the lowest cost, as the backlogs that all routers share are reliable
             cost = {n: expected[n] + READ_COST_WEIGHT * reads[n] for n in in_time}
             best = min(in_time, key=cost.__getitem__, default=-1)
             return (pool[best], expected[best] / left) if in_time and left > 0 else (None, math.inf)
--- a/hopshed/gossip.py
+++ b/hopshed/gossip.py
@@ -25,7 +25,7 @@
 
 from .interface import Settings
 
-# The first byte of a message
+# The first byte of a message, its kind
 FAILURE_KIND = b"F"
 SLOW_KIND = b"S"
 READ_KIND = b"R"
--- a/hopshed/popularity.py
+++ b/hopshed/popularity.py
@@ -5,7 +5,7 @@
 from .estimate import Estimate
 from .state import drop_unused
 
-TIME_CONSTANT_S = 60.0  # of the count of arrivals
+TIME_CONSTANT_S = 60.0  # time constant of the counts of arrivals
 EXPIRY_S = 300.0  # seconds without an arrival after which a prefix is dropped
 PRIOR_REQUESTS = 10.0  # requests added to the total, so that a few requests do not make a prefix popular
 
--- a/hopshed/topology.py
+++ b/hopshed/topology.py
@@ -11,7 +11,7 @@
 from .interface import Role, ServerState
 from .state import Worker
 
-# Bounds of the weight of a cell's readers as homes of prefixes and sessions, which is the cell's balance.
+# Bounds of a reader's weight as a home of prefixes and sessions; between them it is its cell's balance.
 MIN_HOME_WEIGHT = 0.8
 MAX_HOME_WEIGHT = 1.2
 
--- a/yewhook/core/held_state.py
+++ b/yewhook/core/held_state.py
@@ -19,7 +19,7 @@
 
 from .ending import MAY_LEAVE_STATE
 
-RELEASE_AT_SHARE = 0.8  # of the limit; the rest is left for the release call
+RELEASE_AT_SHARE = 0.8  # share of the limit after which the release begins; the rest is left for its calls
 NOT_DELIVERED = frozenset({Outcome.UNREACHABLE, Outcome.NOT_SENT})
 ANSWERED_BY_WORKER = frozenset({Outcome.READ, Outcome.FULL, Outcome.FAILED})  # so the attempt has arrived
 
--- a/yewhook/core/release_call.py
+++ b/yewhook/core/release_call.py
@@ -14,14 +14,14 @@
 from enum import Enum, auto
 from itertools import groupby
 
-MAX_STEP_S = 0.15  # to the next worker, where there is time
-MIN_STEP_S = 0.03  # what a worker on the same network needs to answer
-STEPS = 6  # into which the available time is divided
-MAX_OPEN_CALLS = 16  # the oldest call is closed to make room for a new one
+MAX_STEP_S = 0.15  # longest time from one worker to the next, where there is time
+MIN_STEP_S = 0.03  # shortest such time; a worker on the same network answers within it
+STEPS = 6  # steps into which the time until the release is due is divided
+MAX_OPEN_CALLS = 16  # calls of one release; the oldest is closed to make room for a new one
 MAX_BATCH = 8  # workers called at once, and within one step
 FULL_BATCH_STEP = 4  # the step after which `MAX_BATCH` workers are called at once
 MAX_CALL_STEPS = 4  # steps that a call may take if all workers are being called
-LATE_STEP_S = 1.0  # to the next worker once the release is overdue
+LATE_STEP_S = 1.0  # time from one worker to the next once the release is overdue
 ABANDON_AFTER_S = 5.0  # an overdue release is abandoned after this: no worker has confirmed in all of it
 
 
--- a/yewhook/core/send_rules.py
+++ b/yewhook/core/send_rules.py
@@ -15,7 +15,7 @@
 from .request_records import Attempt, RequestRecord, Stage
 from .server_table import ServerStatus
 
-MIN_CONNECT_TIMEOUT_S = 0.05  # however short the times in the settings are
+MIN_CONNECT_TIMEOUT_S = 0.05  # lower bound, however short the times in the settings are
 
 
 class WithholdReason(StrEnum):
--- a/yewhook/core/state_releases.py
+++ b/yewhook/core/state_releases.py
@@ -19,8 +19,8 @@
 # Delay from closing an attempt's connection until the release: by then the worker has seen the close, and a
 # read that completed at the same moment has left its state.
 CLOSE_DETECTION_S = 0.02
-MIN_RELEASE_TIME_S = 0.15  # to find a worker that responds; within the tolerance of the limit on held state
-MAX_READ_DELAY_S = 0.25  # for which a read waits until earlier state has been released
+MIN_RELEASE_TIME_S = 0.15  # lower bound, to find a worker that responds; within the tolerance of the limit
+MAX_READ_DELAY_S = 0.25  # longest time for which a read waits until earlier state has been released
 
 
 class StateReleases:
