--- a/hopshed/gossip.py
+++ b/hopshed/gossip.py
@@ -10,8 +10,8 @@
 all reads stays right and most messages, which cost CPU time at every router, are not sent.
 
 A message begins with a byte for its kind:
-    F  a server failed: its number
-    S  a request waited long at a server: its number, the wait in tenths of a second
+    F  a server failed: its id
+    S  a request waited long at a server: its id, the wait in tenths of a second
     R  a read was sent: its steps, tag of the server, tag of the prefix
 """
 
@@ -29,7 +29,7 @@
 FAILURE_KIND = b"F"
 SLOW_KIND = b"S"
 READ_KIND = b"R"
-SERVER_NUMBER_BYTES = 8
+SERVER_ID_BYTES = 8
 TAG_BYTES = 2
 READ_MESSAGE_BYTES = 6  # length of a message about a read
 # A step of reading time is the shortest aim of all classes times instances / STEP_ROUTERS, a factor that is
@@ -42,7 +42,7 @@
 SUSPECT_FOR_S = 10.0  # time after a failure at another router for which a server is suspect
 FAILURE_INTERVAL_S = 5.0  # least time between two messages about failures of a server, by any router
 WAIT_INTERVAL_S = 2.0  # the same for messages about waits; a reported wait is used for as long
-MAX_SERVERS = 1024  # entries; beyond it old ones are dropped, as a message may have any server number
+MAX_SERVERS = 1024  # entries; beyond it old ones are dropped, as a message may have any server id
 WAIT_UNITS_PER_S = 10.0  # a message has the wait in tenths of a second
 MAX_WAIT_UNITS = 255  # tenths of a second; the message has one byte for them
 
@@ -64,7 +64,7 @@
 
 @lru_cache(TAG_CACHE_SIZE)  # placing a request needs its prefix's tag for each candidate server
 def short_tag(key: str) -> str:
-    """A short hash of a server's number or a prefix's name, equal at all routers. Collisions are possible."""
+    """A short hash of a server's id or a prefix's name, equal at all routers. Collisions are possible."""
     return blake2b(key.encode(), digest_size=TAG_BYTES).hexdigest()
 
 
@@ -90,7 +90,7 @@
         if not self.enabled or now - last < FAILURE_INTERVAL_S:
             return None
         self._failure_sent_at[server] = now
-        return FAILURE_KIND + server.to_bytes(SERVER_NUMBER_BYTES, "big")
+        return FAILURE_KIND + server.to_bytes(SERVER_ID_BYTES, "big")
 
     def slow_message(self, server: int, wait: float, now: float) -> bytes | None:
         """The message for a wait at a server, in seconds; None where none is due."""
@@ -98,7 +98,7 @@
             return None
         self._wait_reported_at[server] = now
         units = min(MAX_WAIT_UNITS, round(wait * WAIT_UNITS_PER_S))
-        return SLOW_KIND + server.to_bytes(SERVER_NUMBER_BYTES, "big") + bytes([units])
+        return SLOW_KIND + server.to_bytes(SERVER_ID_BYTES, "big") + bytes([units])
 
     def set_servers(self, servers: Iterable[int]) -> None:
         """Replace the servers that tags in messages can stand for."""
@@ -140,12 +140,12 @@
             self._wait_reported_at = {
                 number: at for number, at in self._wait_reported_at.items() if now - at < WAIT_INTERVAL_S
             }
-        server = int.from_bytes(data[1 : 1 + SERVER_NUMBER_BYTES], "big")
-        rest = data[1 + SERVER_NUMBER_BYTES :]
-        if len(data) == 1 + SERVER_NUMBER_BYTES and data[:1] == FAILURE_KIND:
+        server = int.from_bytes(data[1 : 1 + SERVER_ID_BYTES], "big")
+        rest = data[1 + SERVER_ID_BYTES :]
+        if len(data) == 1 + SERVER_ID_BYTES and data[:1] == FAILURE_KIND:
             self._failure_received_at[server] = now
             return None
-        if len(data) == 2 + SERVER_NUMBER_BYTES and data[:1] == SLOW_KIND:
+        if len(data) == 2 + SERVER_ID_BYTES and data[:1] == SLOW_KIND:
             self._wait_reported_at[server] = now
             return SlowServer(server, rest[0] / WAIT_UNITS_PER_S)
         raise ValueError(f"a message of {len(data)} bytes that begins with {data[:1]!r}")
--- a/hopshed/topology.py
+++ b/hopshed/topology.py
@@ -112,7 +112,7 @@
         return self.home_weights((worker,))[worker.info.id]
 
     def home_weights(self, workers: Iterable[Worker]) -> dict[int, float]:
-        """`home_weight` of each server, by its number."""
+        """`home_weight` of each server, by its id."""
         self._compute_balances()
         weights = {
             cell: min(MAX_HOME_WEIGHT, max(MIN_HOME_WEIGHT, balance))
--- a/yewhook/core/request_records.py
+++ b/yewhook/core/request_records.py
@@ -28,8 +28,8 @@
 class Attempt:
     """One send of a request to one server; times are seconds of the loop's clock."""
 
-    number: int
-    server: int
+    number: int  # index in the request's attempts, from 0
+    server: int  # id
     at_reader: bool  # readers only process the prompt: no ending of such an attempt has an effect
     sent_at: float
     is_out: bool = True
--- a/yewhook/core/router.py
+++ b/yewhook/core/router.py
@@ -79,7 +79,7 @@
 
     @property
     def servers(self) -> dict[int, interface.Server]:
-        """All servers by number, including those gone for less than `FORGET_AFTER`."""
+        """All servers by id, including those gone for less than `FORGET_AFTER`."""
         return self.table.servers
 
     @property
--- a/yewhook/core/server_table.py
+++ b/yewhook/core/server_table.py
@@ -25,7 +25,7 @@
 
 
 class ServerTable:
-    """All servers by number. Times are seconds of the loop's clock."""
+    """All servers by id. Times are seconds of the loop's clock."""
 
     def __init__(self) -> None:
         self.servers: dict[int, Server] = {}
