--- a/hopshed/topology.py
+++ b/hopshed/topology.py
@@ -11,9 +11,9 @@
 from .interface import Role, ServerState
 from .state import Worker
 
-# Bounds of the weight of a cell's readers as homes of prefixes and sessions, which is the cell's balance.
-LEAN_LEAST = 0.8
-LEAN_MOST = 1.2
+# Bounds of a reader's weight as a home of prefixes and sessions; between them it is its cell's balance.
+MIN_HOME_WEIGHT = 0.8
+MAX_HOME_WEIGHT = 1.2
 
 
 class _Locations:
@@ -112,12 +112,13 @@
         return self.home_weights((worker,))[worker.info.id]
 
     def home_weights(self, workers: Iterable[Worker]) -> dict[int, float]:
-        """`home_weight` of each server, by its number."""
+        """`home_weight` of each server, by its id."""
         self._compute_balances()
         weights = {
-            cell: min(LEAN_MOST, max(LEAN_LEAST, balance)) for cell, balance in self._cell_balances.items()
+            cell: min(MAX_HOME_WEIGHT, max(MIN_HOME_WEIGHT, balance))
+            for cell, balance in self._cell_balances.items()
         }
-        return {worker.info.id: weights.get(worker.info.cell, LEAN_MOST) for worker in workers}
+        return {worker.info.id: weights.get(worker.info.cell, MAX_HOME_WEIGHT) for worker in workers}
 
     def _compute_balances(self) -> None:
         if not self._stale:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -32,11 +32,13 @@
 
 
 def make_worker(number: int, role: Role = Role.WRITER, state: ServerState = ServerState.RUNNING) -> Worker:
+    """A server of this role, of which nothing is known."""
     return Worker(server(number, KINDS[role], state=state), role, NOW, -math.inf)
 
 
-def make_health(**kw: Any) -> Health:
-    module_settings = settings(**kw)
+def make_health(**changes: Any) -> Health:
+    """Outlier detection on its own; `changes` replaces fields of the settings."""
+    module_settings = settings(**changes)
     gossip = Gossip(module_settings)
     return Health(module_settings, ZoneReachability(), gossip, QueueWaits(gossip), ReadPaces())
 
@@ -112,12 +114,12 @@
 
 
 def test_lost_probes_eject_a_server_only_without_other_signs_of_life() -> None:
-    health, silent, heard = make_health(may_probe=True), make_worker(1), make_worker(2)
+    health, silent, answering = make_health(may_probe=True), make_worker(1), make_worker(2)
     now = NOW + SILENT_AFTER_S + 0.1
-    health.attempt_succeeded(heard, now)
+    health.attempt_succeeded(answering, now)
     lost = [
         [health.probe_ended(worker, False, now) for _ in range(PROBE_FAILURES_MAX)]
-        for worker in (silent, heard)
+        for worker in (silent, answering)
     ]
     assert lost == [[False] * (PROBE_FAILURES_MAX - 1) + [True], [False] * PROBE_FAILURES_MAX]
 
@@ -133,10 +135,10 @@
     assert health.exceeds_silence_limit(writer, NOW + SILENCE_LIMIT_FACTOR * SILENT_AFTER_S + 0.01)
 
 
-def make_probes(**kw: Any) -> Probes:
+def make_probes(**changes: Any) -> Probes:
     """Probes that may ask for load, where the settings do not say otherwise."""
     base: dict[str, Any] = {"may_probe": True, "report_fields": ("utilization",)}
-    module_settings = settings(**(base | kw))
+    module_settings = settings(**(base | changes))
     gossip = Gossip(module_settings)
     return Probes(
         module_settings, Health(module_settings, ZoneReachability(), gossip, QueueWaits(gossip), ReadPaces())
@@ -159,9 +161,11 @@
     assert [worker.info.id for worker in probes.due(writers, Random(1), NOW)] == [6, 5, 4, 3, 2, 1]
 
 
-@pytest.mark.parametrize("kw", [{"may_probe": False}, {"report_fields": ()}, {"reports_in_answers": True}])
-def test_load_is_not_probed_for_where_that_is_not_allowed_or_not_needed(kw: dict[str, Any]) -> None:
-    assert make_probes(**kw).due([make_worker(1)], Random(1), NOW) == []
+@pytest.mark.parametrize(
+    "changes", [{"may_probe": False}, {"report_fields": ()}, {"reports_in_answers": True}]
+)
+def test_load_is_not_probed_for_where_that_is_not_allowed_or_not_needed(changes: dict[str, Any]) -> None:
+    assert make_probes(**changes).due([make_worker(1)], Random(1), NOW) == []
 
 
 def test_readers_are_probed_for_load_only_where_reports_include_queues() -> None:
--- a/yewhook/core/request_records.py
+++ b/yewhook/core/request_records.py
@@ -19,7 +19,7 @@
 
     ACCEPTED = auto()  # not yet passed to `hopshed`
     DECIDING = auto()  # `hopshed` holds it, or decides where to send it next
-    ATTEMPT_OUT = auto()
+    ATTEMPT_OUT = auto()  # an attempt is out, and the response has not begun
     STREAMING = auto()  # the response has begun; the request is not sent to another server any more
     ENDED = auto()  # the final answer has been given, or the client has left
 
@@ -28,8 +28,8 @@
 class Attempt:
     """One send of a request to one server; times are seconds of the loop's clock."""
 
-    number: int
-    server: int
+    number: int  # index in the request's attempts, from 0
+    server: int  # id
     at_reader: bool  # readers only process the prompt: no ending of such an attempt has an effect
     sent_at: float
     is_out: bool = True
