--- a/tests/levels/test_in_the_lab.py
+++ b/tests/levels/test_in_the_lab.py
@@ -17,7 +17,7 @@
 from yewlab import site
 from yewlab.hardcases import rolling_deploy
 from yewlab.levels import LEFT, OFF, ON, Result, Run, Swing, experiment, fall
-from yewlab.simulation import TICK, Simulation
+from yewlab.simulation import TICK_S, Simulation
 from yewlab.workload import Clients
 
 FLEET = {Role.READER: 3, Role.WRITER: 3, Role.MIXED: 0}
@@ -47,7 +47,7 @@
 def test_a_deadline_just_above_a_tick_is_due_and_time_advances() -> None:
     # Its tick was rounded to just below it, and the simulation looped forever at the same time.
     sim, due = Simulation(), []
-    sim.deadlines.set(1000.0 + 2 * TICK + 1e-10, lambda: due.append(sim.now))
+    sim.deadlines.set(1000.0 + 2 * TICK_S + 1e-10, lambda: due.append(sim.now))
     sim.after(1.0, lambda: due.append(sim.now))
     sim.run(1002.0)
     assert len(due) == 2 and sim.now == 1002.0
--- a/yewlab/__init__.py
+++ b/yewlab/__init__.py
@@ -1,2 +1,2 @@
-"""The laboratory: virtual time, stand-in fleets and clients, checkers of the rules. `yewhook serve` never
-imports it."""
+"""The laboratory: virtual time, simulated servers and clients, rule checkers and experiments. `yewhook serve`
+never imports it."""
--- a/yewlab/costs.py
+++ b/yewlab/costs.py
@@ -1,4 +1,4 @@
-"""What a send weighs at a server, by the rule on cold ones."""
+"""The work of a request at a server, as counted by the rule against overloading cold servers."""
 
 from __future__ import annotations
 
@@ -10,25 +10,33 @@
 
 
 def whole_work(engine: Engine, job: Job) -> float:
-    """s of a warm server's whole time that an attempt takes."""
-    read = 0.0 if engine.role is Role.WRITER else job.prompt / engine.read_rate
+    """How long an attempt occupies a whole warm server, in seconds.
+
+    A stream counts with its part of a server that streams as many such jobs as its slots and memory allow.
+    """
+    read_time = 0.0 if engine.role is Role.WRITER else job.prompt / engine.read_rate
     if engine.role is Role.READER:
-        return read
-    most = min(engine.slots, engine.memory / (job.prompt + job.answer))
-    return read + job.answer * (engine.token_time + engine.slot_time * most) / max(1.0, most)
+        return read_time
+    streams = min(engine.slots, engine.memory / (job.prompt + job.answer))
+    return read_time + job.answer * (engine.token_interval + engine.added_interval * streams) / max(
+        1.0, streams
+    )
 
 
 @dataclass(slots=True)
 class Costs:
-    """Mean work by class and role, over all that was sent so far."""
+    """Mean work by class and role, over all attempts sent so far."""
 
-    _booked: dict[tuple[int, Role], tuple[float, int]] = field(default_factory=dict)
+    _sent: dict[tuple[int, Role], tuple[float, int]] = field(default_factory=dict)
 
     def mean(self, cls: int, role: Role, work: float) -> tuple[float, float]:
-        """What a send counts for at a cold server: the mean work of its class there, as the bench's rule says
-        (BENCH, 'This kind of system'); and the mean work over all classes. This one's is booked first."""
-        whole, count = self._booked.get((cls, role), (0.0, 0))
-        self._booked[cls, role] = whole + work, count + 1
-        every = [booked for (_, where), booked in self._booked.items() if where is role]
-        mean = sum(one for one, _ in every) / sum(number for _, number in every)
-        return (whole + work) / (count + 1), mean
+        """Add an attempt of `work` seconds; returns the mean work of its class and that of the role.
+
+        At a cold server an attempt counts with the mean work of its class, as the benchmark's rule defines it
+        (BENCH, 'This kind of system').
+        """
+        total, count = self._sent.get((cls, role), (0.0, 0))
+        self._sent[cls, role] = total + work, count + 1
+        by_class = [sent for (_, sent_to), sent in self._sent.items() if sent_to is role]
+        mean = sum(class_total for class_total, _ in by_class) / sum(sent_count for _, sent_count in by_class)
+        return (total + work) / (count + 1), mean
