--- a/tests/levels/test_in_the_lab.py
+++ b/tests/levels/test_in_the_lab.py
@@ -90,8 +90,8 @@
         (30.0, lambda: seen.append(governor.level_state.level)),
         (58.0, lambda: seen.append(governor.level_state.level)),
     ]
-    for box in run.fleet.of(role):
-        script += [(20.0, partial(run.fleet.drain, box, 1.0)), (60.0, partial(run.fleet.back, box))]
+    for box in run.fleet.with_role(role):
+        script += [(20.0, partial(run.fleet.drain, box, 1.0)), (60.0, partial(run.fleet.restart, box))]
     tally = play(run, lambda now: 6.0, 120.0, *script).tally
     assert seen == [Level.LAST_RESORT] * 2
     assert tally.refused > 100 and 0.4 < tally.worth < 0.9
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -47,9 +47,9 @@
         if told:
             rules.started(0, 7, 100.0)
         for n in range(21):
-            rules.cold(0, 7, 100.0, work=0.05, mean=0.05, can=0.25, now=101.0 + 0.01 * n)
+            rules.cold(0, 7, 100.0, work=0.05, mean_work=0.05, capacity=0.25, now=101.0 + 0.01 * n)
         assert not rules.broken
-        rules.cold(0, 7, 100.0, work=0.05, mean=0.05, can=0.25, now=101.5)
+        rules.cold(0, 7, 100.0, work=0.05, mean_work=0.05, capacity=0.25, now=101.5)
         assert len(rules.broken) == breaks
 
 
@@ -58,13 +58,15 @@
     rules.started(0, 7, 100.0)
     for second in range(5):
         for n in range(21):
-            rules.cold(0, 7, 100.0, work=0.05, mean=0.05, can=0.25, now=101.0 + 1.5 * second + 0.01 * n)
+            rules.cold(
+                0, 7, 100.0, work=0.05, mean_work=0.05, capacity=0.25, now=101.0 + 1.5 * second + 0.01 * n
+            )
     assert not rules.broken
 
 
 def test_on_sockets_an_attempt_given_up_has_a_moment_to_end_and_no_more() -> None:
     for ends_after, breaks in ((0.05, 0), (0.4, 1)):
-        rules = Rules(site.settings(1e6), settles=0.1)
+        rules = Rules(site.settings(1e6), overlap_allowed_s=0.1)
         rules.came("r", Effect.SAFE, 10.0, 0.0)
         rules.sent(0, "r", 1, True, 1.0)
         rules.sent(0, "r", 2, True, 2.0)
--- a/yewlab/hardcases.py
+++ b/yewlab/hardcases.py
@@ -32,13 +32,13 @@
     run = Run(f"rolling{seed}", levels, FLEET, quota=12.0)
     fleet, began = run.fleet, run.sim.now
     run.sim.at(began + 5.0, lambda: setattr(fleet, "register_delay", LATE_REGISTER))
-    for n, box in enumerate([*fleet.of(Role.READER), *fleet.of(Role.WRITER)]):
+    for n, box in enumerate([*fleet.with_role(Role.READER), *fleet.with_role(Role.WRITER)]):
         if n % 3 == 0:
             run.sim.at(began + 20.0, partial(fleet.silence, box))
-            run.sim.at(began + 45.0, partial(fleet.back, box))
+            run.sim.at(began + 45.0, partial(fleet.restart, box))
         else:
             run.sim.at(began + 15.0 + 6.0 * n, partial(fleet.drain, box, 3.0))
-            run.sim.at(began + 24.0 + 6.0 * n, partial(fleet.back, box))
+            run.sim.at(began + 24.0 + 6.0 * n, partial(fleet.restart, box))
     return _serve(run, DEPLOY_RATE, DEPLOY_LASTS)
 
 
@@ -52,7 +52,7 @@
     clients = run.clients(lambda now: rate, end)
     run.sim.run(end + AFTER)
     tally = clients.tally
-    lookup, log = tally.served(site.LOOKUP), tally.served(site.LOG)
+    lookup, log = tally.in_time_share(site.LOOKUP), tally.in_time_share(site.LOG)
     return Outcome(tally.worth, lookup, log, len(run.hosted.changes), run.broken)
 
 
--- a/yewlab/host.py
+++ b/yewlab/host.py
@@ -1,11 +1,11 @@
-"""Hosts real routers, core and decision module, on virtual time: with or without levels of service."""
+"""Hosts real routers, core and decision module, on virtual time, with or without levels of service."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from random import Random
 
-from hopshed import interface as i
+from hopshed import interface
 from yewhook.core.router import Router
 from yewhook.levels.governor import Governor
 from yewhook.levels.level_state import Change
@@ -18,8 +18,8 @@
 from .simulation import Simulation
 
 
-class Silent(Log):
-    """Keeps an experiment's output to its results, and the lines that tell of a fault."""
+class QuietLog(Log):
+    """Writes nothing; collects the events that mean a fault, and the recovery's lines."""
 
     FAULTS = frozenset(
         {"turn failed", "levels failed", "send withheld", "answer overdue", "send for an unknown request"}
@@ -28,40 +28,44 @@
     def __init__(self) -> None:
         super().__init__("lab")
         self.faults: list[str] = []
-        self.said: list[str] = []
+        self.recovery_lines: list[str] = []
 
     def say(self, event: str, detail: str) -> None:
-        self.said.append(f"{event}: {detail}")
+        """Collect a line of the recovery."""
+        self.recovery_lines.append(f"{event}: {detail}")
 
     def __call__(self, event: str, detail: str = "", **figures: object) -> None:
+        """Collect an event that means a fault, and drop all others."""
         if event in self.FAULTS:
             self.faults.append(f"{event}: {detail}")
 
 
 @dataclass(slots=True)
-class Hosted:
-    """One router under test."""
+class HostedRouter:
+    """One router under test, its governor if it has levels, and the changes of level with their times."""
 
     router: Router
     governor: Governor | None
     changes: list[tuple[float, Change]]
-    log: Silent
+    log: QuietLog
 
 
-def host(
+def host_router(
     sim: Simulation,
     fleet: Fleet,
-    settings: i.Settings,
+    settings: interface.Settings,
     levels: ServiceLevelSettings,
     seed: int,
     number: int = 0,
     recovery: RecoverySettings | None = None,
-) -> Hosted:
-    """A router that has heard of no worker yet. It has levels unless their mode is off, and with them the
-    recovery if it is given settings for that."""
-    workers, log = RouterWorkers(fleet, number), Silent()
+) -> HostedRouter:
+    """Start a router that does not know any worker yet.
+
+    It has levels of service unless their mode is off, and with them the recovery if `recovery` is given.
+    """
+    workers, log = RouterWorkers(fleet, number), QuietLog()
     router = Router(settings, seed, sim.deadlines, sim.clock, workers, log)
-    workers.told = router
+    workers.listener = router
     changes: list[tuple[float, Change]] = []
     governor = None
     if levels.mode is not Mode.OFF:
@@ -73,4 +77,4 @@
         )  # fmt: skip
         router.governor = governor
     sim.deciders.append(router)
-    return Hosted(router, governor, changes, log)
+    return HostedRouter(router, governor, changes, log)
--- a/yewlab/levels.py
+++ b/yewlab/levels.py
@@ -22,7 +22,7 @@
 
 from . import site
 from .fleet import Fleet
-from .host import Hosted, host
+from .host import HostedRouter, host_router
 from .rules import Rules
 from .simulation import Simulation
 from .workload import Clients, Tally
@@ -82,7 +82,7 @@
     sim: Simulation = field(init=False)
     fleet: Fleet = field(init=False)
     rules: Rules = field(init=False)
-    hosted: Hosted = field(init=False)
+    hosted: HostedRouter = field(init=False)
 
     def __post_init__(self) -> None:
         settings = site.settings(self.quota)
@@ -91,8 +91,10 @@
         for role, count in self.servers.items():
             for _ in range(count):
                 self.fleet.add(site.ENGINES[role])
-        self.hosted = host(self.sim, self.fleet, settings, self.levels, Random(self.seed).getrandbits(32))
-        self.fleet.join(0, self.hosted.router.servers_listed)
+        self.hosted = host_router(
+            self.sim, self.fleet, settings, self.levels, Random(self.seed).getrandbits(32)
+        )
+        self.fleet.subscribe(0, self.hosted.router.servers_listed)
 
     def clients(
         self, rate: Callable[[float], float], until: float, phase: Callable[[float], str] = lambda now: "run"
@@ -186,10 +188,10 @@
     began = sim.now
     down, up, end = began + 0.2 * seconds, began + 0.8 * seconds, began + seconds
     for role in (Role.READER, Role.WRITER):
-        boxes = fleet.of(role)
+        boxes = fleet.with_role(role)
         for number in boxes[math.ceil(LEFT * len(boxes)) :]:
             sim.at(down, partial(fleet.drain, number, 3.0))
-            sim.at(up, partial(fleet.back, number))
+            sim.at(up, partial(fleet.restart, number))
 
     def phase(now: float) -> str:
         return "whole" if now < down else "fallen" if now < up else "back"
@@ -206,7 +208,7 @@
     clients = run.clients(lambda now: FULL_RATE, end, phase)
     sim.run(end + AFTER)
     by_phase = {
-        name: (tally.worth, *(tally.served(cls) for cls in (site.LOOKUP, site.LOG)))
+        name: (tally.worth, *(tally.in_time_share(cls) for cls in (site.LOOKUP, site.LOG)))
         for name, tally in clients.tallies.items()
     }
     changes = tuple(
@@ -214,7 +216,7 @@
         for at, one in run.hosted.changes
     )
     tally: Tally = clients.tally
-    top = clients.tallies["fallen"].served(site.LOG)
+    top = clients.tallies["fallen"].in_time_share(site.LOG)
     return Fall(tally.worth, top, by_phase, changes, run.broken, tally.turns, tuple(samples))
 
 
--- a/yewlab/lists.py
+++ b/yewlab/lists.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from statistics import median
 
-from hopshed import interface as i
+from hopshed import interface
 from hopshed.control import Controller
 from yewhook.config import parse_settings
 from yewhook.log import Log
@@ -47,9 +47,9 @@
             now, name = 100.0 + repeat, f"r{repeat}"
             began = time.perf_counter()
             servers = worker_list.parse({"reset": True, "instances": entries})
-            module.handle(now, [i.ServersListed(i.ListKind.FULL, servers)])
+            module.handle(now, [interface.ServersListed(interface.ListKind.FULL, servers)])
             listed = time.perf_counter()
-            module.handle(now, [i.RequestArrived(name, 0, 0, name, 5.0, 1000.0, max_tokens=200.0)])
+            module.handle(now, [interface.RequestArrived(name, 0, 0, name, 5.0, 1000.0, max_tokens=200.0)])
             lists.append(1000.0 * (listed - began))
             turns.append(1000.0 * (time.perf_counter() - listed))
         yield Stop(size, median(lists), max(lists), median(turns), max(turns))
--- a/yewlab/mass.py
+++ b/yewlab/mass.py
@@ -20,7 +20,7 @@
 
 from . import site
 from .fleet import Fleet
-from .host import Hosted, Silent, host
+from .host import HostedRouter, QuietLog, host_router
 from .levels import OFF, processes
 from .rules import Rules
 from .simulation import Simulation
@@ -80,7 +80,7 @@
 class Front:
     """Leads clients to the routers that serve: to the next one where the one asked for does not."""
 
-    def __init__(self, hosted: list[Hosted], dead: set[int]) -> None:
+    def __init__(self, hosted: list[HostedRouter], dead: set[int]) -> None:
         self._hosted, self._dead = hosted, dead
 
     def __len__(self) -> int:
@@ -104,8 +104,8 @@
     random: Random = field(init=False)
     rules: Rules = field(init=False)
     fleet: Fleet = field(init=False)
-    hosted: list[Hosted] = field(default_factory=list)
-    logs: list[Silent] = field(default_factory=list)  # of every router's process, those that ended too
+    hosted: list[HostedRouter] = field(default_factory=list)
+    logs: list[QuietLog] = field(default_factory=list)  # of every router's process, those that ended too
     dead: set[int] = field(default_factory=set)  # routers that do not serve
     lags: dict[int, float] = field(default_factory=dict)  # router -> s by which it hears later
     deaf: bool = False  # no router hears another one
@@ -140,21 +140,21 @@
         """Under which name a turn that comes now is booked."""
         return "run"
 
-    def _host(self, number: int, joins: bool = True) -> Hosted:
+    def _host(self, number: int, joins: bool = True) -> HostedRouter:
         """A router's new process; `joins` = the register answers it."""
         settings = self.rules.settings
         self.lags[number] = self.random.uniform(*LAG)
         seed = self.random.getrandbits(32)
-        one = host(self.sim, self.fleet, settings, self.levels, seed, number, self.recovery)
+        one = host_router(self.sim, self.fleet, settings, self.levels, seed, number, self.recovery)
         one.router.tell = partial(self._tell, number)
         self.logs.append(one.log)
         if joins:
             self.join(number, one)
         return one
 
-    def join(self, number: int, one: Hosted) -> None:
+    def join(self, number: int, one: HostedRouter) -> None:
         """The register tells it of the workers from now on."""
-        self.fleet.join(number, one.router.servers_listed, self.lags[number])
+        self.fleet.subscribe(number, one.router.servers_listed, self.lags[number])
 
     def _tell(self, sender: int, data: bytes) -> None:
         if self.deaf:
@@ -172,7 +172,7 @@
         old = self.hosted[number]
         self.dead.add(number)
         self.sim.deciders.remove(old.router)
-        self.fleet.leave(number)
+        self.fleet.unsubscribe(number)
         for life in list(old.router.requests.values()):
             self.rules.lost(life.id)
             old.router.client_left(life.id)
@@ -190,13 +190,13 @@
 
     def replace_worker(self, number: int) -> None:
         """A worker drains and ends; a new and cold one takes its place."""
-        old = self.fleet.boxes[number]
+        old = self.fleet.machines[number]
         self.fleet.drain(number, DRAINS)
         self.fleet.add(old.server.engine, old.info.cell, cold=True, zone=old.info.zone)
 
     def some(self, part: float) -> list[int]:
         """So many of the workers, drawn by the seed."""
-        every = list(self.fleet.boxes)
+        every = list(self.fleet.machines)
         return self.random.sample(every, round(part * len(every)))
 
 
@@ -223,10 +223,10 @@
 
 def zone(mass: Mass, at: float) -> None:
     """A zone is lost and comes back cold, all of it at once; some workers elsewhere are slow."""
-    for number, box in mass.fleet.boxes.items():
+    for number, box in mass.fleet.machines.items():
         if box.info.zone == 0:
             mass.sim.at(at, partial(mass.fleet.silence, number))
-            mass.sim.at(at + LOST_FOR, partial(mass.fleet.back, number))
+            mass.sim.at(at + LOST_FOR, partial(mass.fleet.restart, number))
     for number in mass.some(1.0 / BAD):
         mass.sim.at(at, partial(mass.fleet.slow, number, BAD_SPEED))
 
@@ -239,7 +239,7 @@
     mass.sim.at(at + CUT_FOR, lambda: setattr(mass.fleet, "register_delay", 1.0))
     for number in mass.some(CUT):
         mass.sim.at(at, partial(mass.fleet.silence, number))
-        mass.sim.at(at + CUT_FOR, partial(mass.fleet.back, number))
+        mass.sim.at(at + CUT_FOR, partial(mass.fleet.restart, number))
 
 
 def join(mass: Mass, at: float) -> None:
--- a/yewlab/power.py
+++ b/yewlab/power.py
@@ -11,14 +11,14 @@
 from random import Random
 from typing import Any
 
-from hopshed import interface as i
+from hopshed import interface
 from hopshed.interface import ListKind, Role
 from yewhook.recovery.peer_messages import MessageSchedule, unpack
 from yewhook.recovery.peer_messages import pack as pack_word
 from yewhook.recovery.recovery import PreviousRun, UsualTraffic, usual_traffic
 from yewhook.recovery.settings import RecoverySettings
 
-from .host import Hosted
+from .host import HostedRouter
 from .levels import ON, processes
 from .mass import BEGIN, TROUBLE, TURNS, ZONES, Mass
 from .workload import Tally
@@ -68,7 +68,7 @@
     lost_at: float = field(init=False)
     script: Script = field(init=False)
     words: int = 0
-    known: tuple[i.Server, ...] = ()  # what routers' configurations say, from before the loss
+    known: tuple[interface.Server, ...] = ()  # what routers' configurations say, from before the loss
     register_back: bool = True
     speakers: dict[int, MessageSchedule] = field(default_factory=dict)
     learnt: dict[int, UsualTraffic] = field(default_factory=dict)  # in routers' snapshots
@@ -101,28 +101,28 @@
             at = self.lost_at + self.script.halls[number % ZONES] + self.random.uniform(0.3, 1.0)
             sim.at(at, partial(self._start, number))
         never = set(self.some(NEVER))
-        for number, box in fleet.boxes.items():
+        for number, box in fleet.machines.items():
             at = self.lost_at + self.script.halls[box.info.zone] + self.random.uniform(0.5, 2.0)
             if number not in never:
-                sim.at(at, partial(fleet.back, number))
+                sim.at(at, partial(fleet.restart, number))
         sim.at(self.lost_at + self.script.register, self._register)
         for number in sorted(never):
             sim.at(self.lost_at + self.script.all + NOTICED, partial(fleet.stop, number))
 
     def _dark(self) -> None:
         """Everything goes at once."""
-        for number in list(self.fleet.boxes):
+        for number in list(self.fleet.machines):
             self.fleet.cut_power(number)
         for number, one in enumerate(self.hosted):
             self.learnt[number] = self._usual(one)
             self.kill(number, None)
-        self.known = tuple(box.info for box in self.fleet.boxes.values())
+        self.known = tuple(box.info for box in self.fleet.machines.values())
         self.register_back = False
 
-    def _usual(self, one: Hosted) -> UsualTraffic:
+    def _usual(self, one: HostedRouter) -> UsualTraffic:
         """What its snapshot says of before."""
         assert one.governor is not None
-        infos = [box.info for box in self.fleet.boxes.values()]
+        infos = [box.info for box in self.fleet.machines.values()]
         of = {role: [s.id for s in infos if self.rules.settings.roles[s.kind] is role] for role in Role}
         return usual_traffic(
             one.governor.turn_rate(self.sim.now), of, one.router.export_learned_state().work, self.sim.now
@@ -136,7 +136,7 @@
             one.router.servers_listed(ListKind.SAVED, self.known)
         self._speak(number, one)
 
-    def _host(self, number: int, joins: bool = True) -> Hosted:
+    def _host(self, number: int, joins: bool = True) -> HostedRouter:
         one = Mass._host(self, number, joins=False)
         if one.governor is not None and one.governor.recovery is not None and number in self.learnt:
             recovery, wrote = one.governor.recovery, self.lost_at - SNAPSHOT_AGE
@@ -146,15 +146,15 @@
             self.join(number, one)
         return one
 
-    def join(self, number: int, one: Hosted) -> None:
+    def join(self, number: int, one: HostedRouter) -> None:
         recovery = one.governor.recovery if one.governor is not None else None
 
-        def listed(kind: ListKind, servers: tuple[i.Server, ...]) -> None:
+        def listed(kind: ListKind, servers: tuple[interface.Server, ...]) -> None:
             if recovery is not None:
                 servers = recovery.merge_list(kind, servers, GENERATION + 1, self.sim.now)
             one.router.servers_listed(kind, servers)
 
-        self.fleet.join(number, listed, self.lags[number])
+        self.fleet.subscribe(number, listed, self.lags[number])
 
     def _register(self) -> None:
         self.register_back = True
@@ -164,7 +164,7 @@
 
     # ---- words ----
 
-    def _speak(self, number: int, one: Hosted) -> None:
+    def _speak(self, number: int, one: HostedRouter) -> None:
         """A router's words from its start on, as long as it lives."""
         governor = one.governor
         if governor is None or governor.recovery is None:
@@ -216,7 +216,9 @@
     back = power.lost_at + power.script.first
     settings = power.rules.settings
     starts = [
-        (box.server.engine.role, box.server.started) for box in power.fleet.boxes.values() if not box.off
+        (box.server.engine.role, box.server.started)
+        for box in power.fleet.machines.values()
+        if not box.powered_off
     ]
 
     def able(role: Role, at: float) -> float:
@@ -234,7 +236,7 @@
     """s until that part of the worth asked for in a window is served, and stays so for a further one."""
 
     def share(second: int) -> float:
-        window = Tally.of_classes(2)
+        window = Tally.for_class_count(2)
         for one in range(second, second + round(WINDOW)):
             if one in tallies:
                 window.add(tallies[one])
@@ -249,15 +251,15 @@
     power = Power(seed, routers, workers, turns, levels=ON, recovery=recovery)
     power.sim.run(power.lost_at + power.script.all + SEEN_AFTER + 16.0)
     seconds = {int(name): tally for name, tally in power.clients.tallies.items()}
-    after = Tally.of(power.rules.settings)
+    after = Tally.for_settings(power.rules.settings)
     for second, tally in seconds.items():
         if second >= 0:
             after.add(tally)
     top = max(range(len(power.rules.settings.classes)), key=lambda n: power.rules.settings.classes[n].worth)
     last = round(power.script.all - power.script.first + SEEN_AFTER)
     figures = {
-        "turns": after.turns, "worth": round(after.worth, 4), "top_class": round(after.served(top), 4),
-        "other_class": round(min(after.served(n) for n in range(2) if n != top), 4),
+        "turns": after.turns, "worth": round(after.worth, 4), "top_class": round(after.in_time_share(top), 4),
+        "other_class": round(min(after.in_time_share(n) for n in range(2) if n != top), 4),
         "warm_half_s": _warm(power, HALF), "warm_full_s": _warm(power, FULL),
         "refused": after.refused, "half_s": _reached(seconds, HALF, last),
         "full_s": _reached(seconds, FULL, last), "broken": len(power.rules.broken), "words": power.words,
@@ -265,7 +267,7 @@
     }  # fmt: skip
     faults = tuple(fault for log in power.logs for fault in log.faults)
     answered = tuple((float(s), seconds[s].worth) for s in sorted(seconds) if 0 <= s < last)
-    return Outcome(figures, tuple(power.rules.broken), faults, tuple(power.logs[-1].said), answered)
+    return Outcome(figures, tuple(power.rules.broken), faults, tuple(power.logs[-1].recovery_lines), answered)
 
 
 @dataclass(frozen=True, slots=True)
--- a/yewlab/rules.py
+++ b/yewlab/rules.py
@@ -1,5 +1,4 @@
-"""Checkers of the rules, by what crosses between routers, servers and clients. They share no code with a
-router."""
+"""Checks the rules on what passes between routers, servers and clients; shares no code with a router."""
 
 from __future__ import annotations
 
@@ -9,11 +8,12 @@
 
 from hopshed.interface import Effect, Settings
 
-SLACK = 0.05  # s that each limit is longer for what is on its way
-# Requests of mean work that chance may add to a budget of N of them: 2 standard deviations of a count whose
-# mean is N, and so many more. The standing test's page allows 3 and 3; its operators go by the stricter.
-CHANCE, FEW = 2.0, 2.0
-SAME_START = 0.01  # s; lists state starts in whole ms of another clock
+SLACK_S = 0.05  # added to each time limit, for messages in flight
+# A cold server's budget of N requests of mean work may be exceeded by chance: by 2 standard deviations of a
+# count whose mean is N, and 2 more requests. The page of the standing test allows 3 and 3, but its operators
+# apply the stricter figures.
+CHANCE_DEVIATIONS, CHANCE_REQUESTS = 2.0, 2.0
+SAME_START_S = 0.01  # tolerance, since lists state starts in whole milliseconds of another clock
 
 
 @dataclass(slots=True)
@@ -21,146 +21,170 @@
     deadline: float
     effect: Effect
     answers: int = 0
-    out: int = 0
+    attempts_out: int = 0
     may_have_run: bool = False
     idle_since: float = 0.0
     streaming: bool = False
-    crowded: float | None = None  # since when two attempts seem to be out
+    overlap_since: float | None = None  # since when more than entry attempt has been out
 
 
 @dataclass(slots=True)
 class Rules:
-    """`broken` names each break; a run with any counts for nothing."""
+    """Records each broken rule in `broken`; a run with any is a failure.
+
+    Times are in seconds of the run's clock.
+    """
 
     settings: Settings
-    # s within which an attempt that was given up must be seen to end, though another one has come already: on
-    # sockets the two cross on connections that keep no order.
-    settles: float = 0.0
+    # How long two attempts of a request may overlap at the servers: on sockets, the end of a canceled attempt
+    # and the next attempt arrive on different connections, in either order.
+    overlap_allowed_s: float = 0.0
     broken: list[str] = field(default_factory=list)
     _open: dict[str, _Request] = field(default_factory=dict)
-    _told_off: dict[tuple[int, int], float] = field(default_factory=dict)
-    _cold: dict[int, deque[tuple[float, float, bool]]] = field(default_factory=dict)
+    _not_running_since: dict[tuple[int, int], float] = field(default_factory=dict)
+    _cold_work: dict[int, deque[tuple[float, float, bool]]] = field(default_factory=dict)
     _starts: dict[tuple[int, int], float | None] = field(default_factory=dict)
 
-    def _break(self, now: float, what: str) -> None:
+    def _report(self, now: float, what: str) -> None:
         self.broken.append(f"{now:.3f} {what}")
 
-    def _late(self, one: _Request, now: float) -> float:
-        """s by which the last moment for an answer has passed; under 0 before it."""
-        return now - one.deadline - self.settings.answer_slack - SLACK
+    def _lateness(self, entry: _Request, now: float) -> float:
+        """Seconds since the last permitted moment for an answer; negative before it."""
+        return now - entry.deadline - self.settings.answer_slack - SLACK_S
 
     # ---- clients ----
 
     def came(self, request: str, effect: Effect, deadline: float, now: float) -> None:
+        """A client sent a request."""
         self._open[request] = _Request(deadline, effect, idle_since=now)
 
     def began(self, request: str, now: float) -> None:
-        """Its answer's first event has come."""
-        one = self._open.get(request)
-        if one is None:
-            self._break(now, f"{request} answered, and nobody asks for it")
-        elif not one.streaming:
-            one.streaming = True
-            if self._late(one, now) > 0:
-                self._break(now, f"{request} begun {now - one.deadline:.3f} s after its deadline")
+        """The first event of the answer arrived at the client."""
+        entry = self._open.get(request)
+        if entry is None:
+            self._report(now, f"{request} answered, but it is not open")
+        elif not entry.streaming:
+            entry.streaming = True
+            if self._lateness(entry, now) > 0:
+                self._report(now, f"{request} first answered {now - entry.deadline:.3f} s after its deadline")
 
     def answered(self, request: str, refused: bool, now: float) -> None:
-        """Its final answer; a stream that is whole or broken off counts as one."""
-        one = self._open.get(request)
-        if one is None:
-            return self._break(now, f"{request} answered twice, or never asked")
-        one.answers += 1
-        if one.answers > 1:
-            self._break(now, f"{request} answered twice")
-        if not one.streaming and (late := self._late(one, now)) > 0:
-            self._break(now, f"{request} answered {late:.3f} s late")
+        """The answer ended at the client; the end of a stream, complete or not, counts as an answer."""
+        entry = self._open.get(request)
+        if entry is None:
+            return self._report(now, f"{request} answered, but it is not open")
+        entry.answers += 1
+        if entry.answers > 1:
+            self._report(now, f"{request} answered twice")
+        if not entry.streaming and (late := self._lateness(entry, now)) > 0:
+            self._report(now, f"{request} answered {late:.3f} s late")
         return self.refused(request, now) if refused else None
 
     def refused(self, request: str, now: float) -> None:
-        """What a refusal says of a request must hold: that it has not run, nor will."""
-        one = self._open.get(request)
-        if one is not None and one.effect is Effect.UNSAFE and (one.may_have_run or one.out):
-            self._break(now, f"{request} refused as harmless though it may have run, or may yet")
+        """The client was told that the request did not run, which must be true of an unsafe one."""
+        entry = self._open.get(request)
+        if entry is not None and entry.effect is Effect.UNSAFE and (entry.may_have_run or entry.attempts_out):
+            self._report(now, f"{request} refused as safe to retry, but it may have run or may still run")
 
     def lost(self, request: str) -> None:
-        """Its router's process died: nobody is left to answer it or to let go of anything."""
+        """The process of the request's router died, so that neither an answer nor a release can follow."""
         self._open.pop(request, None)
 
     # ---- servers ----
 
     def sent(self, router: int, request: str, server: int, reads: bool, now: float) -> None:
-        one = self._open.get(request)
-        if one is None:
-            return self._break(now, f"{request} sent, and nobody asks for it")
-        one.out += 1
-        if one.out > 1 and self.settles <= 0:
-            self._break(now, f"{request} has {one.out} attempts out")
-        elif one.out > 1 and one.crowded is None:
-            one.crowded = now
-        if one.effect is Effect.UNSAFE and one.may_have_run:
-            self._break(now, f"{request} may not be repeated and was sent again")
+        """A router sent an attempt; `reads` = to a reader, where it has no effect."""
+        entry = self._open.get(request)
+        if entry is None:
+            return self._report(now, f"{request} sent, but it is not open")
+        entry.attempts_out += 1
+        if entry.attempts_out > 1 and self.overlap_allowed_s <= 0:
+            self._report(now, f"{request} has {entry.attempts_out} attempts out")
+        elif entry.attempts_out > 1 and entry.overlap_since is None:
+            entry.overlap_since = now
+        if entry.effect is Effect.UNSAFE and entry.may_have_run:
+            self._report(now, f"{request} may not be repeated and was sent again")
         if not reads:
-            one.may_have_run = True
-        told = self._told_off.get((router, server))
-        if told is not None and now - told > self.settings.drain_grace + SLACK:
-            self._break(now, f"{request} sent to {server}, told off {now - told:.3f} s before")
+            entry.may_have_run = True
+        since = self._not_running_since.get((router, server))
+        if since is not None and now - since > self.settings.drain_grace + SLACK_S:
+            self._report(now, f"{request} sent to {server}, told off {now - since:.3f} s before")
         return None
 
     def ended(self, request: str, never_ran: bool, now: float) -> None:
-        if (one := self._open.get(request)) is not None:
-            one.out -= 1
-            one.crowded = one.crowded if one.out > 1 else None
-            one.idle_since = now
-            if never_ran:  # there is one attempt out at most, and those before it had not run either
-                one.may_have_run = False
+        """An attempt of the request ended; `never_ran` = it had no effect at its server."""
+        if (entry := self._open.get(request)) is not None:
+            entry.attempts_out -= 1
+            entry.overlap_since = entry.overlap_since if entry.attempts_out > 1 else None
+            entry.idle_since = now
+            if never_ran:  # at most one attempt is out, and those before it did not run either
+                entry.may_have_run = False
 
     def told(self, router: int, server: int, running: bool, now: float) -> None:
+        """A router learned whether a server is running, as opposed to draining or gone."""
         if running:
-            self._told_off.pop((router, server), None)
+            self._not_running_since.pop((router, server), None)
         else:
-            self._told_off.setdefault((router, server), now)
+            self._not_running_since.setdefault((router, server), now)
 
     def started(self, router: int, server: int, at: float | None) -> None:
-        """A router was told of a server's latest start."""
+        """A router learned of a server's latest start; None = the start is unknown."""
         self._starts[router, server] = at
 
     def cold(
-        self, router: int, server: int, started: float, work: float, mean: float, can: float, now: float
+        self,
+        router: int,
+        server: int,
+        started: float,
+        work: float,
+        mean_work: float,
+        capacity: float,
+        now: float,
     ) -> None:
-        """Work reached a cold server, in s of the whole server's time when warm; it can do `can` a second.
+        """An attempt reached a cold server that started at `started`.
 
-        `mean` = work of a mean request there. The rule is broken if two thirds of what pushed it over came
-        from routers told of its start.
+        `work` is that of the attempt, `mean_work` that of a mean request there, in seconds of the whole
+        server when warm; `capacity` is the work that the server can do per second now. The rule is broken if
+        the recent work exceeds the server's budget and at least two thirds of it came from routers that knew
+        of the start.
         """
         window, multiple = self.settings.fall_window, self.settings.fall_multiple
-        recent = self._cold.setdefault(server, deque())
-        told = self._starts.get((router, server))
-        recent.append((now, work, told is not None and abs(told - started) < SAME_START))
+        recent = self._cold_work.setdefault(server, deque())
+        known = self._starts.get((router, server))
+        recent.append((now, work, known is not None and abs(known - started) < SAME_START_S))
         while recent[0][0] < now - window:
             recent.popleft()
-        whole = sum(w for _, w, _ in recent)
-        informed = sum(w for _, w, told in recent if told)
-        allowed = multiple * can * window / mean
-        bears = allowed + CHANCE * math.sqrt(allowed) + FEW
-        if whole > bears * mean and informed >= whole * 2.0 / 3.0:
-            self._break(now, f"cold server {server} pushed over")
+        total = sum(part for _, part, _ in recent)
+        informed = sum(part for _, part, knew_start in recent if knew_start)
+        budget = multiple * capacity * window / mean_work
+        limit = budget + CHANCE_DEVIATIONS * math.sqrt(budget) + CHANCE_REQUESTS
+        if total > limit * mean_work and informed >= total * 2.0 / 3.0:
+            self._report(now, f"cold server {server} pushed over")
 
     def held(self, request: str, now: float) -> None:
-        """A state is held for it at this moment."""
-        one = self._open.get(request)
-        limit = self.settings.release_within + SLACK + 0.3
-        if one is not None and one.out == 0 and now - one.idle_since > limit:
-            self._break(now, f"{request} has left a state held for {now - one.idle_since:.3f} s")
-            one.idle_since = now  # told once
+        """A server holds state for the request at this moment."""
+        entry = self._open.get(request)
+        limit = self.settings.release_within + SLACK_S + 0.3
+        if entry is not None and entry.attempts_out == 0 and now - entry.idle_since > limit:
+            self._report(now, f"{request} has had unreleased state for {now - entry.idle_since:.3f} s")
+            entry.idle_since = now  # so that it is reported once
 
     def sweep(self, now: float) -> None:
-        """Look for what was never answered, and forget what is long over."""
-        for request, one in list(self._open.items()):
-            if one.crowded is not None and now - one.crowded > self.settles:
-                self._break(now, f"{request} has {one.out} attempts out for {now - one.crowded:.3f} s")
-                one.crowded = None  # told once
-            if one.answers == 0 and not one.streaming and self._late(one, now) > 0:
-                self._break(now, f"{request} never answered")
-                one.answers = 1
-            if one.answers and one.out == 0 and now - one.deadline > 5.0 and now - one.idle_since > 5.0:
+        """Check for unanswered requests and lasting overlaps; forget requests that ended long ago."""
+        for request, entry in list(self._open.items()):
+            if entry.overlap_since is not None and now - entry.overlap_since > self.overlap_allowed_s:
+                self._report(
+                    now,
+                    f"{request} has {entry.attempts_out} attempts out for {now - entry.overlap_since:.3f} s",
+                )
+                entry.overlap_since = None  # so that it is reported once
+            if entry.answers == 0 and not entry.streaming and self._lateness(entry, now) > 0:
+                self._report(now, f"{request} was never answered")
+                entry.answers = 1
+            if (
+                entry.answers
+                and entry.attempts_out == 0
+                and now - entry.deadline > 5.0
+                and now - entry.idle_since > 5.0
+            ):
                 del self._open[request]
