--- a/tests/levels/test_in_the_lab.py
+++ b/tests/levels/test_in_the_lab.py
@@ -16,7 +16,7 @@
 from yewhook.levels.settings import Mode, ServiceLevelSettings
 from yewlab import site
 from yewlab.hardcases import rolling_deploy
-from yewlab.levels import LEFT, OFF, ON, Result, Run, Swing, experiment, fall
+from yewlab.levels import OFF, ON, REMAINING_SHARE, Result, Run, Swing, experiment, fall
 from yewlab.simulation import TICK_S, Simulation
 from yewlab.workload import Clients
 
@@ -34,7 +34,7 @@
     start = run.sim.now
     for at, call in script:
         run.sim.at(start + at, lambda call=call: call() and None)  # type: ignore[misc]
-    clients = run.clients(rate, start + seconds)
+    clients = run.start_clients(rate, start + seconds)
     run.sim.run(start + seconds + 20.0)
     assert run.broken == ()
     return clients
@@ -169,7 +169,7 @@
     on, off = (fall(settings, 3, 150.0) for settings in (ON, OFF))
     assert on.broken == off.broken == ()
     assert on.top_class >= off.top_class + 0.1 and on.worth >= off.worth
-    assert LEFT == 0.6
+    assert REMAINING_SHARE == 0.6
 
 
 def test_the_experiment_reports_its_figures_and_can_fail() -> None:
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -1,4 +1,4 @@
-"""Many routers on virtual time: the rules that count over the whole fleet, on every kind of day."""
+"""Many routers on virtual time: the rules that apply to the whole fleet, on each day of the lab."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from hopshed.interface import Effect
 from yewlab import power, site
-from yewlab.mass import DAYS, Mass, play
+from yewlab.mass import DAYS, FleetRun, play
 from yewlab.rules import Rules
 
 
@@ -21,27 +21,30 @@
     assert result.worth > 0.3
 
 
-def test_a_loss_of_all_is_come_back_from_in_order() -> None:
-    ours, theirs = (power.play(2, routers=12, workers=20, with_it=way).figures for way in (True, False))
+def test_the_recovery_breaks_no_rule_and_serves_the_top_class_better() -> None:
+    ours, theirs = (
+        power.play(2, routers=12, workers=20, with_recovery=recovery).figures for recovery in (True, False)
+    )
     assert ours["broken"] == 0 and ours["words"] > 12
     assert ours["top_class"] >= theirs["top_class"] + 0.05
 
 
-def test_a_router_that_is_killed_loses_what_it_had_and_another_serves_its_clients() -> None:
-    mass = Mass(seed=1, routers=3, workers=5)
-    mass.sim.run(mass.sim.now + 5.0)
-    old, ended = mass.hosted[1].router, mass.hosted[1].log
-    mass.kill(1, back_after=1.0)
-    assert mass.clients.routers[1] is mass.hosted[2].router
-    mass.sim.run(mass.sim.now + 2.0)
-    assert mass.clients.routers[1] is mass.hosted[1].router is not old
-    assert not mass.rules.broken
-    # What went wrong in a process that has ended counts like what goes wrong in one that runs.
-    assert any(log is ended for log in mass.logs)
+def test_clients_of_a_killed_router_are_served_by_another_one() -> None:
+    run = FleetRun(seed=1, routers=3, workers=5)
+    run.sim.run(run.sim.now + 5.0)
+    old, ended_log = run.hosted[1].router, run.hosted[1].log
+    run.kill(1, restart_after=1.0)
+    assert run.clients.routers[1] is run.hosted[2].router
+    run.sim.run(run.sim.now + 2.0)
+    assert run.clients.routers[1] is run.hosted[1].router is not old
+    assert not run.rules.broken
+    # Faults that an ended process logged count like those of a running one.
+    assert any(log is ended_log for log in run.logs)
 
 
-def test_a_cold_server_bears_what_chance_explains_and_falls_at_one_more() -> None:
-    # N = 2.5 x 0.25 x 1 s / 0.05 s = 12.5 requests of mean work; 12.5 + 2 x root of 12.5 + 2 = 21.6.
+def test_a_cold_server_is_overloaded_by_one_request_more_than_chance_explains() -> None:
+    # The budget is 2.5 x 0.25 x 1 s / 0.05 s = 12.5 requests of mean work, the limit
+    # 12.5 + 2 x sqrt(12.5) + 2 = 21.6. It applies only to routers that knew of the start.
     for told, breaks in ((True, 1), (False, 0)):
         rules = Rules(replace(site.settings(1e6), cold_time=13.0, fall_multiple=2.5, fall_window=1.0))
         if told:
@@ -53,7 +56,7 @@
         assert len(rules.broken) == breaks
 
 
-def test_what_came_before_the_window_does_not_push_a_cold_server_over() -> None:
+def test_work_before_the_window_does_not_count_against_a_cold_server() -> None:
     rules = Rules(site.settings(1e6))
     rules.started(0, 7, 100.0)
     for second in range(5):
@@ -64,7 +67,7 @@
     assert not rules.broken
 
 
-def test_on_sockets_an_attempt_given_up_has_a_moment_to_end_and_no_more() -> None:
+def test_attempts_may_overlap_only_for_the_allowed_time() -> None:
     for ends_after, breaks in ((0.05, 0), (0.4, 1)):
         rules = Rules(site.settings(1e6), overlap_allowed_s=0.1)
         rules.came("r", Effect.SAFE, 10.0, 0.0)
--- a/yewlab/charts.py
+++ b/yewlab/charts.py
@@ -1,4 +1,4 @@
-"""Charts of experiments; matplotlib comes with the lab extra and is imported only here."""
+"""Charts of experiments. This is the only module that imports matplotlib, a package of the lab extra."""
 
 from __future__ import annotations
 
@@ -17,16 +17,19 @@
 
 
 def draw_fall(on: Fall, off: Fall, path: Path) -> None:
-    """Load and level over time while capacity falls, and what that was worth with levels and without."""
+    """Write a chart of load and level over time while capacity falls, and of worth with and without levels.
+
+    The suffix of the path chooses the format.
+    """
     figure, (over_time, worth) = pyplot.subplots(1, 2, figsize=(11, 4), width_ratios=(2, 1))
     times = [at for at, _, _ in on.samples]
     over_time.plot(times, [load for _, load, _ in on.samples], label="load")
-    over_time.set_xlabel("s")
+    over_time.set_xlabel("seconds")
     over_time.set_ylabel("load")
     steps = over_time.twinx()
     steps.step(times, [level for _, _, level in on.samples], where="post", color="tab:red", label="level")
     steps.set_yticks(list(Level), [level.label for level in Level])
-    over_time.set_title("capacity falls to 60% and comes back cold")
+    over_time.set_title("capacity falls to 60% and returns cold")
     phases = list(on.by_phase)
     for shift, (label, run) in enumerate((("without levels", off), ("with levels", on))):
         places = [n + 0.4 * shift for n in range(len(phases))]
@@ -35,26 +38,29 @@
     worth.set_title("service-log answered in time")
     worth.legend()
     figure.tight_layout()
-    # Without a date, the same result gives the same file.
+    # Without a date, the same result gives an identical file.
     metadata = {"Date": None} if path.suffix == ".svg" else None
     figure.savefig(path, metadata=metadata)
     pyplot.close(figure)
 
 
-Answered = Sequence[tuple[float, float]]  # s, part of the worth asked for in that second
+AnsweredWorth = Sequence[tuple[float, float]]  # seconds, worth answered / worth asked for in that second
+
 
+def draw_return(ours: AnsweredWorth, theirs: AnsweredWorth, figures: Mapping[str, Any], path: Path) -> None:
+    """Write a chart of the worth answered in each second after a power loss, with and without the recovery.
 
-def draw_return(ours: Answered, theirs: Answered, figures: Mapping[str, Any], path: Path) -> None:
-    """What of each second's worth is answered after a power loss, with the recovery and without it."""
+    The suffix of the path chooses the format.
+    """
     figure, axes = pyplot.subplots(figsize=(8, 4))
-    for label, run in (("without the recovery", theirs), ("with it", ours)):
-        axes.plot([at for at, _ in run], [part for _, part in run], label=label)
-    for name, words in (("warm_half_s", "half is warm"), ("warm_full_s", "nine tenths are")):
+    for label, run in (("without the recovery", theirs), ("with the recovery", ours)):
+        axes.plot([at for at, _ in run], [share for _, share in run], label=label)
+    for name, caption in (("warm_half_s", "half is warm"), ("warm_full_s", "nine tenths are warm")):
         if figures[name] is not None:
             axes.axvline(figures[name], linestyle=":", color="tab:gray")
-            axes.annotate(words, (figures[name], 1.0), rotation=90, va="top", ha="right")
-    axes.set_xlabel("s after the first hall's return")
-    axes.set_ylabel("worth answered, of that asked for")
+            axes.annotate(caption, (figures[name], 1.0), rotation=90, va="top", ha="right")
+    axes.set_xlabel("seconds after the first zone's return")
+    axes.set_ylabel("worth answered / worth asked for")
     axes.set_ylim(0.0, 1.05)
     axes.legend(loc="lower right")
     figure.tight_layout()
--- a/yewlab/levels.py
+++ b/yewlab/levels.py
@@ -1,5 +1,5 @@
-"""The experiment on levels of service: load that swings round every threshold, and a fleet that falls to
-60%."""
+"""The experiment on levels of service: load that swings around each threshold, and a fleet whose capacity
+falls to 60%."""
 
 from __future__ import annotations
 
@@ -29,46 +29,48 @@
 
 ON = ServiceLevelSettings(mode=Mode.ON)
 OFF = ServiceLevelSettings(mode=Mode.OFF)
-CHANGES_MOST = 4  # at each threshold, in ten minutes
-GAIN_LEAST = 0.10  # of the top class, where capacity falls
-SWING, NOISE = 0.12, 0.15  # part of the threshold, and of the rate
-PERIOD = (40.0, 90.0)  # s, drawn by the seed
-WARM_UP, APPROACH = 120.0, 0.75  # s below the threshold, at this part of it
-AFTER = 20.0  # s in which what has come is answered
-SETTLE = 30.0  # s over which it is held against the approach
-TRIM = 60.0  # s over which the measured load is held against the threshold while it swings
-SMALL = {Role.READER: 2, Role.WRITER: 2, Role.MIXED: 1}
-MIDDLE = {Role.READER: 4, Role.WRITER: 4, Role.MIXED: 1}
-RATE = 2.6  # turns a second that are about all that a writer or mixed server of such a fleet can do
-FALLING = {Role.READER: 5, Role.WRITER: 5, Role.MIXED: 0}
-FULL_RATE = 12.0  # turns a second, about nine tenths of what the falling fleet can do when it is whole
-LEFT = 0.6  # of its servers
-CROSSINGS_LEAST = 2  # of the threshold by the signal, or a swing has shown nothing
+MAX_CHANGES = 4  # of level, at each threshold, in ten minutes
+MIN_GAIN = 0.10  # in the top class's share of worth answered in time, while capacity is reduced
+SWING_AMPLITUDE = 0.12  # as a fraction of the threshold
+RATE_NOISE = 0.15  # standard deviation, as a fraction of the rate
+SWING_PERIOD_S = (40.0, 90.0)  # drawn from this range
+WARM_UP_S = 120.0
+WARM_UP_FACTOR = 0.75  # of the threshold, for the load during the warm-up
+FINISH_S = 20.0  # after the last arrival, for open requests to be answered
+WARM_UP_TAU_S = 30.0  # time constant of the moving average of the load, during the warm-up
+SWING_TAU_S = 60.0  # the same while the load swings
+SMALL_FLEET = {Role.READER: 2, Role.WRITER: 2, Role.MIXED: 1}
+MEDIUM_FLEET = {Role.READER: 4, Role.WRITER: 4, Role.MIXED: 1}
+TURNS_PER_SERVER_PER_S = 2.6  # about the capacity of a writer or mixed server in such a fleet
+FALL_FLEET = {Role.READER: 5, Role.WRITER: 5, Role.MIXED: 0}
+FALL_TURNS_PER_S = 12.0  # about nine tenths of the capacity of FALL_FLEET
+REMAINING_SHARE = 0.6  # of the servers of FALL_FLEET, while capacity is reduced
+MIN_CROSSINGS = 2  # of the threshold by the signal; with fewer, a swing proves nothing
 
 
 @dataclass(frozen=True, slots=True)
 class Swing:
-    """What swinging a signal round one threshold brought."""
+    """The result of swinging a signal around one threshold."""
 
     name: str
-    changes: int
-    crossings: int
-    mean: float  # of the signal, over the threshold
-    broken: tuple[str, ...] = ()
+    changes: int  # of level
+    crossings: int  # of the threshold
+    mean: float  # of the signal, as a multiple of the threshold
+    broken: tuple[str, ...] = ()  # rules
     requests: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Fall:
-    """One run in which capacity falls, with levels or without."""
+    """The result of one run in which capacity falls, with levels or without."""
 
     worth: float
-    top_class: float  # in the phase of less capacity
-    by_phase: dict[str, tuple[float, ...]]  # worth, and its part by class
-    changes: tuple[str, ...]
-    broken: tuple[str, ...]
+    top_class: float  # worth answered in time while capacity is reduced, as a fraction of that asked for
+    by_phase: dict[str, tuple[float, ...]]  # worth, and the fraction answered in time of each class
+    changes: tuple[str, ...]  # of level
+    broken: tuple[str, ...]  # rules
     requests: int
-    samples: tuple[tuple[float, float, int], ...] = ()  # s, load and level, where there are levels
+    samples: tuple[tuple[float, float, int], ...] = ()  # seconds, load and level; empty without levels
 
 
 @dataclass(slots=True)
@@ -96,84 +98,90 @@
         )
         self.fleet.subscribe(0, self.hosted.router.servers_listed)
 
-    def clients(
+    def start_clients(
         self, rate: Callable[[float], float], until: float, phase: Callable[[float], str] = lambda now: "run"
     ) -> Clients:
+        """Start clients whose turns arrive until a time; `rate` and `phase` are as for `Clients`."""
         routers = [self.hosted.router]
         settings = site.settings(self.quota)
         return Clients(self.sim, settings, site.TRAFFIC, self.seed, routers, self.rules, rate, until, phase)
 
     @property
     def broken(self) -> tuple[str, ...]:
+        """Broken rules, and faults that the router logged."""
         return (*self.rules.broken, *self.hosted.log.faults)
 
 
 def swing_load(level: Level, seed: int, seconds: float) -> Swing:
-    """Lead the load that the router measures round a level's threshold, by the rate at which clients come."""
+    """Swing the load that the router measures around a level's threshold, by control of the turn rate."""
     threshold = ON.levels[level].conditions["load"].enter
-    servers = SMALL if threshold > 2.0 else MIDDLE  # the more that comes, the fewer servers it takes
+    # The higher the load, the fewer servers are enough.
+    servers = SMALL_FLEET if threshold > 2.0 else MEDIUM_FLEET
     run = Run(f"{seed} {level.label}", ON, servers, quota=1000.0)
     governor, random = run.hosted.governor, Random(f"swing {seed} {level.label}")
     assert governor is not None
     wave = _wave(random)
-    start = run.sim.now + WARM_UP
+    start = run.sim.now + WARM_UP_S
     end = start + seconds
-    base = [RATE * (servers[Role.WRITER] + servers[Role.MIXED])]
-    slow = [APPROACH * threshold]  # the measured load, over about a period
-    seen: list[float] = []
+    base_rate = [TURNS_PER_SERVER_PER_S * (servers[Role.WRITER] + servers[Role.MIXED])]
+    avg = [WARM_UP_FACTOR * threshold]  # the measured load, averaged over about a period
+    ratios: list[float] = []
 
-    def goal(now: float) -> float:
+    def target(now: float) -> float:
         if now < start:
-            return threshold * APPROACH
+            return threshold * WARM_UP_FACTOR
         return threshold * wave(now)
 
-    def lead() -> None:
-        """Once a second, slowly against a period: a little more where what is measured is under the
-        threshold.
+    def adjust_rate() -> None:
+        """Raise the rate once a second while the measured load is too low, and lower it while it is too high.
 
-        Sessions that have come go on for most of a minute, so that a quick hand would swing far wider than
-        meant.
+        The rate changes slowly compared with a period: sessions last for most of a minute, so that faster
+        control would swing the load much further than intended.
         """
         now, load = run.sim.now, governor.signals.load
-        swings = now >= start
-        aim = threshold * (1.0 if swings else APPROACH)
-        first = swings and not seen
-        slow[0] = aim if first else slow[0] + (load - slow[0]) / (TRIM if swings else SETTLE)
-        most = 0.004 if swings else 0.01
-        base[0] *= math.exp(max(-most, min(most, 0.01 * (aim / max(0.05, slow[0]) - 1.0))))
-        if swings:
-            seen.append(load / threshold)
+        swinging = now >= start
+        goal = threshold * (1.0 if swinging else WARM_UP_FACTOR)
+        first = swinging and not ratios
+        avg[0] = goal if first else avg[0] + (load - avg[0]) / (SWING_TAU_S if swinging else WARM_UP_TAU_S)
+        max_step = 0.004 if swinging else 0.01
+        base_rate[0] *= math.exp(max(-max_step, min(max_step, 0.01 * (goal / max(0.05, avg[0]) - 1.0))))
+        if swinging:
+            ratios.append(load / threshold)
         if now < end:
-            run.sim.after(1.0, lead)
+            run.sim.after(1.0, adjust_rate)
 
-    lead()
-    clients = run.clients(lambda now: base[0] * goal(now) * max(0.2, random.gauss(1.0, NOISE)), end)
-    run.sim.run(end + AFTER)
+    adjust_rate()
+    clients = run.start_clients(
+        lambda now: base_rate[0] * target(now) * max(0.2, random.gauss(1.0, RATE_NOISE)), end
+    )
+    run.sim.run(end + FINISH_S)
     changes = [change for at, change in run.hosted.changes if start <= at < end]
-    mean = sum(seen) / max(1, len(seen))
-    return Swing(f"{level.label}.load", len(changes), _crossings(seen), mean, run.broken, clients.tally.turns)
+    mean = sum(ratios) / max(1, len(ratios))
+    return Swing(
+        f"{level.label}.load", len(changes), _crossings(ratios), mean, run.broken, clients.tally.turns
+    )
 
 
 def swing_signal(level: Level, name: str, seed: int, seconds: float) -> Swing:
-    """Swing one signal by itself round its threshold, as the level state machine sees it; noise comes
-    unsmoothed."""
+    """Swing one signal alone around its threshold, as input of the level state machine; its noise is not
+    smoothed."""
     threshold = ON.levels[level].conditions[name].enter
     random = Random(f"signal {seed} {level.label} {name}")
     wave = _wave(random)
     level_state = LevelStateMachine(ON, random.random(), 0.0)
-    changes, seen = 0, []
-    for look in range(int(seconds / EVALUATION_INTERVAL_S)):
-        now = look * EVALUATION_INTERVAL_S
-        swung = max(0.0, wave(now) + random.gauss(0.0, NOISE))
-        seen.append(swung)
-        changes += level_state.step(now, Signals(**{name: threshold * swung})) is not None
-    return Swing(f"{level.label}.{name}", changes, _crossings(seen), sum(seen) / len(seen))
+    changes, ratios = 0, []
+    for step in range(int(seconds / EVALUATION_INTERVAL_S)):
+        now = step * EVALUATION_INTERVAL_S
+        ratio = max(0.0, wave(now) + random.gauss(0.0, RATE_NOISE))
+        ratios.append(ratio)
+        changes += level_state.step(now, Signals(**{name: threshold * ratio})) is not None
+    return Swing(f"{level.label}.{name}", changes, _crossings(ratios), sum(ratios) / len(ratios))
 
 
 def _wave(random: Random) -> Callable[[float], float]:
-    """Round 1, with a period and a phase of its own."""
-    period, phase = random.uniform(*PERIOD), random.uniform(0.0, 2 * math.pi)
-    return lambda now: 1.0 + SWING * math.sin(2 * math.pi * now / period + phase)
+    """A sine wave around 1 with a random period and phase, as a function of the time in seconds."""
+    period, phase = random.uniform(*SWING_PERIOD_S), random.uniform(0.0, 2 * math.pi)
+    return lambda now: 1.0 + SWING_AMPLITUDE * math.sin(2 * math.pi * now / period + phase)
 
 
 def _crossings(ratios: list[float]) -> int:
@@ -181,15 +189,17 @@
 
 
 def fall(levels: ServiceLevelSettings, seed: int, seconds: float) -> Fall:
-    """The fleet loses two fifths of each role after a fifth of the time, and gets them back cold near the
-    end."""
-    run = Run(f"fall {seed}", levels, FALLING, quota=FULL_RATE * 1.3)
+    """Run a fleet that loses two fifths of its readers and writers after a fifth of the time.
+
+    They return cold after four fifths of it.
+    """
+    run = Run(f"fall {seed}", levels, FALL_FLEET, quota=FALL_TURNS_PER_S * 1.3)
     sim, fleet = run.sim, run.fleet
-    began = sim.now
-    down, up, end = began + 0.2 * seconds, began + 0.8 * seconds, began + seconds
+    start = sim.now
+    down, up, end = start + 0.2 * seconds, start + 0.8 * seconds, start + seconds
     for role in (Role.READER, Role.WRITER):
-        boxes = fleet.with_role(role)
-        for number in boxes[math.ceil(LEFT * len(boxes)) :]:
+        machines = fleet.with_role(role)
+        for number in machines[math.ceil(REMAINING_SHARE * len(machines)) :]:
             sim.at(down, partial(fleet.drain, number, 3.0))
             sim.at(up, partial(fleet.restart, number))
 
@@ -200,20 +210,21 @@
     if (governor := run.hosted.governor) is not None:
         for second in range(0, int(seconds), 2):
             sim.at(
-                began + second,
+                start + second,
                 lambda: samples.append(
-                    (sim.now - began, governor.signals.load, int(governor.level_state.level))
+                    (sim.now - start, governor.signals.load, int(governor.level_state.level))
                 ),
             )
-    clients = run.clients(lambda now: FULL_RATE, end, phase)
-    sim.run(end + AFTER)
+    clients = run.start_clients(lambda now: FALL_TURNS_PER_S, end, phase)
+    sim.run(end + FINISH_S)
     by_phase = {
         name: (tally.worth, *(tally.in_time_share(cls) for cls in (site.LOOKUP, site.LOG)))
         for name, tally in clients.tallies.items()
     }
     changes = tuple(
-        f"{at - began:.0f} s {one.before.label} to {one.after.label}: {one.condition} {one.value:.2f}"
-        for at, one in run.hosted.changes
+        f"{at - start:.0f} s {change.before.label} to {change.after.label}: "
+        f"{change.condition} {change.value:.2f}"
+        for at, change in run.hosted.changes
     )
     tally: Tally = clients.tally
     top = clients.tallies["fallen"].in_time_share(site.LOG)
@@ -222,22 +233,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
+    """The result of the whole experiment."""
+
     swings: tuple[Swing, ...]
-    on: Fall
+    on: Fall  # with levels
     off: Fall
 
     @property
     def broken(self) -> list[str]:
+        """Broken rules and logged faults of all runs."""
         parts = [*(swing.broken for swing in self.swings), self.on.broken, self.off.broken]
         return [line for part in parts for line in part]
 
     @property
     def holds(self) -> bool:
-        steady = all(s.changes <= CHANGES_MOST and s.crossings >= CROSSINGS_LEAST for s in self.swings)
-        better = self.on.worth >= self.off.worth and self.on.top_class >= self.off.top_class + GAIN_LEAST
+        """Whether levels are stable at each threshold, improve the service and break no rule."""
+        steady = all(s.changes <= MAX_CHANGES and s.crossings >= MIN_CROSSINGS for s in self.swings)
+        better = self.on.worth >= self.off.worth and self.on.top_class >= self.off.top_class + MIN_GAIN
         return steady and better and not self.broken
 
     def figures(self) -> dict[str, Any]:
+        """The figures that `yewhook lab levels` prints as JSON."""
         return {
             "thresholds": [{"name": swing.name, "changes": swing.changes} for swing in self.swings],
             "worth": round(self.on.worth, 4),
@@ -249,12 +265,12 @@
         }
 
     def lines(self) -> Iterator[str]:
-        """For people."""
+        """The result as lines of text for people."""
         yield f"{'threshold':<24} changes crossings  mean of the signal over it"
         for swing in self.swings:
             yield f"{swing.name:<24} {swing.changes:>7} {swing.crossings:>9}  {swing.mean:.3f}"
         for what, run in (("with levels", self.on), ("without", self.off)):
-            yield f"capacity falls to {LEFT:.0%}, {what}: worth {run.worth:.3f}"
+            yield f"capacity falls to {REMAINING_SHARE:.0%}, {what}: worth {run.worth:.3f}"
             yield f"    top class while it is less: {run.top_class:.3f}"
             for name, (worth, lookup, log) in run.by_phase.items():
                 yield f"    {name:<7} worth {worth:.3f}  fault-lookup {lookup:.3f}  service-log {log:.3f}"
@@ -263,22 +279,24 @@
         yield from self.broken[:20]
 
 
-def processes() -> ProcessPoolExecutor:
-    """As many as there are cores; what comes out does not depend on their number."""
+def process_pool() -> ProcessPoolExecutor:
+    """A pool with one process per core; results do not depend on the number of processes."""
     return ProcessPoolExecutor(max_workers=os.cpu_count(), mp_context=get_context("spawn"))
 
 
 def experiment(seed: int, minutes: float) -> Result:
-    """All of it."""
+    """Swing each signal around its threshold for so many minutes; reduce capacity with levels and without."""
     seconds = 60.0 * minutes
     loads = [level for level in ON.known[1:] if "load" in ON.levels[level].conditions]
-    with processes() as pool:
+    with process_pool() as pool:
         on, off = (pool.submit(fall, levels, seed, seconds) for levels in (ON, OFF))
         swings = [pool.submit(swing_load, level, seed, seconds) for level in reversed(loads)]
-        alone = [
+        signal_swings = [
             swing_signal(level, name, seed, seconds)
             for level in ON.known[1:]
             for name in ON.levels[level].conditions
             if name != "load"
         ]
-        return Result((*reversed([swing.result() for swing in swings]), *alone), on.result(), off.result())
+        return Result(
+            (*reversed([swing.result() for swing in swings]), *signal_swings), on.result(), off.result()
+        )
--- a/yewlab/lists.py
+++ b/yewlab/lists.py
@@ -1,4 +1,4 @@
-"""How long a changed list of workers, and the decision after it, keep a router's loop from all else."""
+"""How long a changed list of workers, and the first decision after it, block a router's event loop."""
 
 from __future__ import annotations
 
@@ -15,41 +15,46 @@
 from yewhook.log import Log
 from yewhook.worker_list import WorkerList
 
-REPEATS = 25
-CHANGED_PART, CELL = 5, 6  # one entry in so many changes its state each time; workers of a cell
+MEASUREMENTS = 25
+CHANGED_EVERY = 5  # one entry in so many changes its state between measurements
+WORKERS_PER_CELL = 6
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class ListTiming:
+    """Times in milliseconds for one length of list."""
+
     entries: int
-    list_median: float  # ms for a whole list with changes, from discovery's form to the module
+    list_median: float  # to parse a full list with changes and to pass it to `hopshed`
     list_worst: float
-    turn_median: float  # ms for the first arrival after it, whose hash order is not known any more
+    turn_median: float  # to decide on the first arrival after it, which must compute its hash order again
     turn_worst: float
 
 
-def measure(sizes: tuple[int, ...], routers: int = 40) -> Iterator[Stop]:
-    """Lists of these lengths, at one of so many routers."""
+def measure(sizes: tuple[int, ...], routers: int = 40) -> Iterator[ListTiming]:
+    """Measure lists of these lengths, at one of so many routers."""
     raw = json.loads((Path(__file__).parents[1] / "deploy" / "settings.json").read_text())
     settings, names = parse_settings(raw | {"instances": routers})
     for size in sizes:
-        worker_list, module = WorkerList(names, 0.0, Log("lab")), Controller(settings, 1)
+        worker_list, controller = WorkerList(names, 0.0, Log("lab")), Controller(settings, 1)
         entries = [
-            {"instanceId": f"s-{n}", "hostPort": f"127.0.0.1:{1024 + n}", "cell": n // CELL,
+            {"instanceId": f"s-{n}", "hostPort": f"127.0.0.1:{1024 + n}", "cell": n // WORKERS_PER_CELL,
              "lifecycle": "up",
              "zone": names.zones[n % len(names.zones)], "machineType": names.kinds[n % len(names.kinds)]}
             for n in range(size)
         ]  # fmt: skip
         lists, turns = [], []
-        for repeat in range(REPEATS):
-            for entry in entries[::CHANGED_PART]:
+        for repeat in range(MEASUREMENTS):
+            for entry in entries[::CHANGED_EVERY]:
                 entry["lifecycle"] = "draining" if repeat % 2 else "up"
             now, name = 100.0 + repeat, f"r{repeat}"
-            began = time.perf_counter()
+            start = time.perf_counter()
             servers = worker_list.parse({"reset": True, "instances": entries})
-            module.handle(now, [interface.ServersListed(interface.ListKind.FULL, servers)])
+            controller.handle(now, [interface.ServersListed(interface.ListKind.FULL, servers)])
             listed = time.perf_counter()
-            module.handle(now, [interface.RequestArrived(name, 0, 0, name, 5.0, 1000.0, max_tokens=200.0)])
-            lists.append(1000.0 * (listed - began))
+            controller.handle(
+                now, [interface.RequestArrived(name, 0, 0, name, 5.0, 1000.0, max_tokens=200.0)]
+            )
+            lists.append(1000.0 * (listed - start))
             turns.append(1000.0 * (time.perf_counter() - listed))
-        yield Stop(size, median(lists), max(lists), median(turns), max(turns))
+        yield ListTiming(size, median(lists), max(lists), median(turns), max(turns))
--- a/yewlab/memory.py
+++ b/yewlab/memory.py
@@ -1,4 +1,4 @@
-"""What a router holds in memory and how long it takes to start, by real processes on loopback."""
+"""Measures the memory and the start time of a router, with real processes on loopback."""
 
 from __future__ import annotations
 
@@ -16,53 +16,63 @@
 
 from yewhook.service_level_admin import resident_bytes
 
-STARTS, SETTLE = 5, 1.5  # processes of each kind; s until memory is read
+PROCESSES = 5  # of each kind
+SETTLE_S = 1.5  # from the start until memory is read
 JSON_LINES = '[log]\nform = "json"\n[levels]\nmode = "on"\n'
 LEVELS_ON = '[levels]\nmode = "on"\n'
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
+    """The memory and start time of one kind of router."""
+
     what: str
-    resident: float  # MB, median
-    start: float  # ms until it listens, median
+    resident: float  # MiB, median
+    start: float  # milliseconds until it listens, median
 
 
 def measure(root: Path) -> Iterator[Cost]:
-    """Routers of the program in that folder: plain, with levels, with JSON lines, as far as it has them."""
-    yield _cost("no operators' file", root, None)
-    # Earlier releases have the module that reads the settings file under its former name.
+    """Measure routers of the program in this folder: without settings file, with levels, with JSON logs.
+
+    Earlier releases without a settings file are measured without it only.
+    """
+    yield _median_cost("no operators' file", root, None)
+    # In earlier releases the module that reads the settings file is called operators.py.
     if any((root / "yewhook" / name).exists() for name in ("settings_file.py", "operators.py")):
-        yield _cost("levels on", root, LEVELS_ON)
-        yield _cost("levels on, JSON lines", root, JSON_LINES)
+        yield _median_cost("levels on", root, LEVELS_ON)
+        yield _median_cost("levels on, JSON lines", root, JSON_LINES)
 
 
-def _cost(what: str, root: Path, settings: str | None) -> Cost:
+def _median_cost(what: str, root: Path, settings: str | None) -> Cost:
     with tempfile.TemporaryDirectory() as folder:
-        starts = [_start(root, Path(folder), settings) for _ in range(STARTS)]
-    return Cost(what, statistics.median(r for r, _ in starts), statistics.median(s for _, s in starts))
+        starts = [_measure_process(root, Path(folder), settings) for _ in range(PROCESSES)]
+    return Cost(
+        what,
+        statistics.median(resident for resident, _ in starts),
+        statistics.median(start for _, start in starts),
+    )
 
 
-def _start(root: Path, folder: Path, settings: str | None) -> tuple[float, float]:
+def _measure_process(root: Path, folder: Path, settings: str | None) -> tuple[float, float]:
     config = folder / "config.json"
-    settings_of = json.loads((Path(__file__).parents[1] / "deploy" / "settings.json").read_text())
-    told = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1"}
-    config.write_text(json.dumps(told | {"settings": settings_of}))
+    module_settings = json.loads((Path(__file__).parents[1] / "deploy" / "settings.json").read_text())
+    base = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1"}
+    config.write_text(json.dumps(base | {"settings": module_settings}))
     command = [sys.executable, "-m", "yewhook", "serve"]
     if settings is not None:
         (folder / "service.toml").write_text(settings)
         command += ["--service", str(folder / "service.toml")]
-    began = time.monotonic()
+    launched = time.monotonic()
     env = os.environ | {"PROXY_CONFIG": str(config)}
     with subprocess.Popen(command, cwd=root, env=env, stderr=subprocess.PIPE, text=True) as process:
         assert process.stderr is not None
         for line in process.stderr:
             if "serving" in line:
                 break
-        start = time.monotonic() - began
-        time.sleep(SETTLE)
-        held = resident_bytes(process.pid) / (1 << 20)
+        start = time.monotonic() - launched
+        time.sleep(SETTLE_S)
+        resident = resident_bytes(process.pid) / (1 << 20)
         process.send_signal(signal.SIGTERM)
         process.stderr.read()
         process.wait()
-    return held, 1000.0 * start
+    return resident, 1000.0 * start
--- a/yewlab/rules.py
+++ b/yewlab/rules.py
@@ -25,7 +25,7 @@
     may_have_run: bool = False
     idle_since: float = 0.0
     streaming: bool = False
-    overlap_since: float | None = None  # since when more than entry attempt has been out
+    overlap_since: float | None = None  # since when more than one attempt has been out
 
 
 @dataclass(slots=True)
