--- a/yewlab/levels.py
+++ b/yewlab/levels.py
@@ -32,7 +32,7 @@
 MAX_CHANGES = 4  # of level, at each threshold, in ten minutes
 MIN_GAIN = 0.10  # in the top class's share of worth answered in time, while capacity is reduced
 SWING_AMPLITUDE = 0.12  # as a fraction of the threshold
-RATE_NOISE = 0.15  # standard deviation, as a fraction of the rate
+RATE_NOISE = 0.15  # standard deviation, as a fraction of the rate, or of the threshold for a lone signal
 SWING_PERIOD_S = (40.0, 90.0)  # drawn from this range
 WARM_UP_S = 120.0
 WARM_UP_FACTOR = 0.75  # of the threshold, for the load during the warm-up
@@ -266,16 +266,16 @@
 
     def lines(self) -> Iterator[str]:
         """The result as lines of text for people."""
-        yield f"{'threshold':<24} changes crossings  mean of the signal over it"
+        yield f"{'threshold':<24} changes crossings  mean signal / threshold"
         for swing in self.swings:
             yield f"{swing.name:<24} {swing.changes:>7} {swing.crossings:>9}  {swing.mean:.3f}"
         for what, run in (("with levels", self.on), ("without", self.off)):
             yield f"capacity falls to {REMAINING_SHARE:.0%}, {what}: worth {run.worth:.3f}"
-            yield f"    top class while it is less: {run.top_class:.3f}"
+            yield f"    top class in time, while reduced: {run.top_class:.3f}"
             for name, (worth, lookup, log) in run.by_phase.items():
                 yield f"    {name:<7} worth {worth:.3f}  fault-lookup {lookup:.3f}  service-log {log:.3f}"
             yield from (f"    {change}" for change in run.changes)
-        yield f"rules broken: {len(self.broken)}"
+        yield f"broken rules: {len(self.broken)}"
         yield from self.broken[:20]
 
 
--- a/yewlab/mass.py
+++ b/yewlab/mass.py
@@ -41,7 +41,7 @@
     role: replace(engine, read_rate=READ_RATES.get(role, engine.read_rate))
     for role, engine in site.ENGINES.items()
 }
-REGISTER_LAG_S = (0.2, 1.2)  # by which a router learns of changes later than Fleet.register_delay
+REGISTER_LAG_S = (0.2, 1.2)  # of each router, in addition to Fleet.register_delay
 GOSSIP_DELAY_S = (0.0016, 0.027)  # of a message between routers
 QUOTA_TURNS_PER_S = 1e6  # so high that no turn exceeds its tenant's quota
 KILLED_SHARE = 0.7  # of the routers, killed at once
@@ -56,7 +56,7 @@
 SLOW_EVERY = 8  # one in so many workers is slow
 SLOW_SPEED = 0.15  # of a slow worker, as a fraction of its engine's
 FINAL_ANSWERS_S = 0.2  # from a router's last answers to the end of its process
-RESTART_GROUPS = 10  # of routers that are restarted together
+RESTART_GROUPS = 10  # into which the routers are divided, each restarted together
 RESTART_GROUP_INTERVAL_S = 1.5
 
 
--- a/yewlab/simulation.py
+++ b/yewlab/simulation.py
@@ -49,6 +49,7 @@
 
     def at(self, time: float, call: Callable[[], None]) -> Deadline:
         """Have `call` called at the first tick that is not before this time."""
+        # A time that is less than 1e-6 of a tick above a tick counts as equal to it, because of rounding.
         ticks = math.ceil(time / TICK_S - 1e-6)
         return self.deadlines.set(max(self.now, ticks * TICK_S), call)
 
--- a/yewlab/site.py
+++ b/yewlab/site.py
@@ -41,7 +41,7 @@
     Role.WRITER: Engine(Role.WRITER, queue=16, slots=48, memory=60_000.0),
     Role.MIXED: Engine(Role.MIXED, read_rate=6_000.0, queue=16, slots=48, memory=60_000.0),
 }
-SHARES = (0.59, 0.23, 0.18)  # of the tenants
+TENANT_SHARES = (0.59, 0.23, 0.18)
 
 
 def settings(quota: float, instances: int = 1) -> interface.Settings:
@@ -50,7 +50,7 @@
         classes=CLASSES,
         roles=(Role.READER, Role.WRITER, Role.MIXED),
         memory_tokens=tuple(ENGINES[role].memory for role in (Role.READER, Role.WRITER, Role.MIXED)),
-        tenants=tuple(interface.Tenant(quota_per_s=quota * share, share=share) for share in SHARES),
+        tenants=tuple(interface.Tenant(quota_per_s=quota * share, share=share) for share in TENANT_SHARES),
         over_share_worth=0.1,
         worth_by_work=True,
         instances=instances,
--- a/yewlab/workload.py
+++ b/yewlab/workload.py
@@ -15,7 +15,7 @@
 from .rules import Rules
 from .simulation import Simulation
 
-MAX_REPEATS = 2  # retries by the client, of one turn
+MAX_RETRIES = 2  # of one turn, by its client
 DEFAULT_RETRY_WAIT_S = 0.5  # where a refusal gave no advice
 
 
@@ -104,7 +104,7 @@
         """How many routers there are."""
 
     def __getitem__(self, number: int, /) -> Router | None:
-        """The router that serves clients of this one; None if no router serves."""
+        """The router that serves the clients of router `number`; None if no router serves."""
 
 
 class Clients:
@@ -167,7 +167,9 @@
         session = f"s{self._serial}"
         prefix, tokens = None, 0.0
         if draw.random() < traffic.prefix_share:
-            popular = int(traffic.prefix_count ** draw.random())  # skewed to a few prefixes, as by Zipf's law
+            popular = int(
+                traffic.prefix_count ** draw.random()
+            )  # few prefixes are used most, as by Zipf's law
             prefix = f"{cls}-{popular}"
             tokens = Random(prefix).uniform(*traffic.prefix_tokens)
         mean = draw.uniform(*traffic.turns)
@@ -190,7 +192,7 @@
             self.sim.at(at, lambda: self._start_turn(turn, patience, router, jitter))
 
     def _start_turn(self, turn: Turn, patience: float, router: int, jitter: float) -> None:
-        over_quota = self._is_over_quota(turn.tenant)
+        over_quota = self._charge_quota(turn.tenant)
         phase = self._phase(self.sim.now)
         worth = self.settings.classes[turn.cls].worth * turn.work
         worth *= self.settings.over_share_worth if over_quota else 1.0
@@ -201,8 +203,8 @@
             tally.asked[turn.cls] += worth
         TurnClient(self, turn, worth, tallies, patience, self.sim.now, router, jitter).send()
 
-    def _is_over_quota(self, tenant: int) -> bool:
-        """Count a turn against its tenant's quota, over all routers; returns whether it exceeds the quota.
+    def _charge_quota(self, tenant: int) -> bool:
+        """Charge a turn to its tenant's quota over all routers; returns whether it exceeds the quota.
 
         The quota is a leaky bucket that holds three seconds' turns, and at least three.
         """
@@ -224,10 +226,10 @@
     turn: Turn
     worth: float
     tallies: list[Tally]
-    patience: float
+    patience: float  # of each request, in seconds
     started: float
     first_router: int
-    retry_jitter: float
+    retry_jitter: float  # 0.5 to 1; scales retry delays
     tries: int = 0
     request_id: str = ""
     first_event_at: float | None = None
@@ -292,7 +294,7 @@
         self.clients.rules.answered(self.request_id, True, self.clients.sim.now)
         for tally in self.tallies:
             tally.refused += 1
-        if self.tries <= MAX_REPEATS:
+        if self.tries <= MAX_RETRIES:
             self.clients.sim.after(
                 (retry_after or DEFAULT_RETRY_WAIT_S) * (1.0 + 0.2 * self.retry_jitter), self.send
             )
