--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -14,7 +14,7 @@
 from yewhook.log import Log
 from yewhook.loop import Loop
 from yewhook.platform.peers import Peers
-from yewhook.service import RELOAD_AGAIN, RELOAD_TRIES, Service, listen
+from yewhook.service import RELOAD_RETRY_S, RELOAD_TRIES, Service, listen
 from yewhook.transient_errors import RETRY_INTERVAL_S, RETRY_TIMEOUT_S, is_transient, retry_transient
 
 FREE = ("127.0.0.1", 0)
@@ -126,7 +126,7 @@
 
     service.reloaders.append(configuration)
     service.reload()
-    while now[0] < RELOAD_TRIES * RELOAD_AGAIN + 0.5:
-        now[0] += RELOAD_AGAIN / 2
+    while now[0] < RELOAD_TRIES * RELOAD_RETRY_S + 0.5:
+        now[0] += RELOAD_RETRY_S / 2
         loop.run_turn(0.0)
     assert bool(read) is taken and tries.calls <= RELOAD_TRIES
--- a/yewhook/front.py
+++ b/yewhook/front.py
@@ -86,7 +86,7 @@
             connection.close_gracefully()
 
     def set_mode(self, mode: FrontMode) -> None:
-        """Put a mode in force."""
+        """Apply a mode."""
         self.mode = mode
         self._sweep()
 
@@ -130,7 +130,8 @@
 
 
 AttemptT = TypeVar("AttemptT", bound=PendingAttempt)
-# Releases what is held for a request: from a time on, by a due time, then calls the function
+# Releases what is held for a request. Takes the request id, the earliest time to begin and the time by which
+# it is due (both in seconds of the loop's clock), and a function to call when it has ended
 ReleaseFunction = Callable[[str, float, float, Callable[[], None]], None]
 
 
@@ -290,7 +291,7 @@
         return self.router.busy or self.releases.busy or bool(self._clients.connections)
 
     def reload(self) -> Callable[[], str]:
-        """Read the configuration again; returns a function that puts it in force and describes the change."""
+        """Read the configuration again; returns a function that applies it and describes changes."""
         raise NotImplementedError
 
     @property
@@ -300,18 +301,18 @@
 
     @property
     def levels(self) -> Governor | None:
-        """What judges the level of service; None where levels are off or the router has dropped it."""
+        """The governor of the level of service; None where levels are off or the router has dropped it."""
         return self._governor if self._governor is self.router.governor else None
 
     def set_levels(
         self,
         settings: ServiceLevelSettings,
-        vitals: Callable[[], ProcessHealth],
+        read_health: Callable[[], ProcessHealth],
         changed: Callable[[Change], None],
     ) -> None:
-        """Put settings of the levels of service in force, at the start or later.
+        """Apply settings of the levels of service, at the start or later.
 
-        `vitals` returns the state of the process, and `changed` is called with each change of level.
+        `read_health` returns the resource use of the process; `changed` is called with each change of level.
         """
         levels = self.levels
         if settings.mode is Mode.OFF:
@@ -321,7 +322,7 @@
             from .levels.governor import Governor  # imported only where levels are on, for its cost
 
             def process_health() -> ProcessHealth:
-                return vitals()._replace(discovery_age=self.discovery_age)
+                return read_health()._replace(discovery_age=self.discovery_age)
 
             self._governor = Governor(
                 self._settings, settings, self._seed, self.loop.now, process_health, changed, self.recovery
@@ -331,7 +332,7 @@
             levels.configure(settings, self.loop.now)
 
     def set_mode(self, mode: FrontMode) -> None:
-        """Put a mode in force for the listener and the client connections."""
+        """Apply a mode to the listener and the client connections."""
         if mode.shutting_down:
             self._acceptor.stop()
         self._acceptor.pause(not mode.accepting)
--- a/yewhook/service.py
+++ b/yewhook/service.py
@@ -21,17 +21,16 @@
 PROCESS_DESCRIPTORS = 16  # for the standard streams, the listeners, the selector and the wake-up pipe
 WORKER_SOCKETS_DIVISOR = 3  # one part in this many of the sockets is reserved for workers
 BODY_MEMORY_DIVISOR = 8  # request bodies may take one part in this many of the memory
-DRAIN_PROPAGATION_S = (
-    0.5  # after the first failed health check, until upstream load balancers have stopped sending
-)
+# From the first failed health check until upstream load balancers have stopped sending
+DRAIN_PROPAGATION_S = 0.5
 KILL_AFTER_GRACE_S = 0.7  # from the end of the grace period until the platform may kill the process
 MOVE_STREAMS_INTERVAL_S = 0.1  # at each interval a part of the streams that still run is moved
 END_ALL_BEFORE_KILL_S = 0.4  # before the platform may kill the process, all open requests are ended
 FLUSH_TIMEOUT_S = 0.3  # after that, for the last answers to be sent
 IDLE_POLL_S = 0.02  # between checks whether all requests are finished
 RELOAD_TRIES = 15  # of a reload that fails for lack of descriptors
-RELOAD_AGAIN = 0.2  # s; between tries
-WORKER_LIST_POLL_S = 0.02
+RELOAD_RETRY_S = 0.2  # between tries
+WORKER_LIST_POLL_S = 0.02  # between checks for a worker list
 WORKER_LIST_TIMEOUT_S = 1.0  # after which the process serves without a worker list
 LISTEN_BACKLOG = 4096  # connections; a client that finds the queue full retries after 1 s at the earliest
 MAX_ACCEPTS_PER_TURN = 64
@@ -39,7 +38,7 @@
 
 
 def adopt_listener(descriptor: int) -> socket.socket:
-    """The inherited listening socket, which other processes may share. Raises ConfigError."""
+    """Returns the inherited listening socket, which other processes may share. Raises ConfigError."""
     try:
         listener = socket.socket(fileno=descriptor)
         listens = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
@@ -64,10 +63,10 @@
 class ResourceBudget:
     """Limits on open sockets and request bodies; a part of the sockets is reserved for workers."""
 
-    def __init__(self, loop: Loop, limits: Limits, kept: int = 0) -> None:
-        """`kept` = descriptors that neither clients nor workers may use."""
+    def __init__(self, loop: Loop, limits: Limits, reserved: int = 0) -> None:
+        """`reserved` = descriptors that neither clients nor workers may use."""
         self._loop, self._sockets = loop, limits.sockets
-        self._limit = self._total_limit = limits.sockets - PROCESS_DESCRIPTORS - kept
+        self._limit = self._total_limit = limits.sockets - PROCESS_DESCRIPTORS - reserved
         self.body_bytes = limits.memory // BODY_MEMORY_DIVISOR
 
     def set_shared(self, shared: bool) -> None:
@@ -166,7 +165,7 @@
             self._loop.watch(self._listener, 0 if paused else selectors.EVENT_READ, self._accept)
 
     def stop(self) -> None:
-        """Accept what waits, then close the socket.
+        """Accept the connections in the kernel's queue, then close the socket.
 
         New connections are refused from then on unless another process shares the socket.
         """
@@ -227,7 +226,7 @@
         self._wakeup_pipe: tuple[FileIO, FileIO] | None = None
 
     def handle_signals(self) -> None:
-        """End in order at SIGTERM and SIGINT, reload at SIGHUP; to be called before anything is accepted."""
+        """Shut down gracefully at SIGTERM and SIGINT, reload at SIGHUP; call it before accepting."""
         # A pipe rather than a socket pair, since the platform permits no Unix sockets.
         read_end, write_end = retry_transient(os.pipe)
         for end in (read_end, write_end):
@@ -280,7 +279,7 @@
             changes = [read() for read in [*self.reloaders, *(front.reload for front in self.fronts)]]
         except ConfigError as error:
             if is_transient(error) and tries > 1:
-                return self.loop.after(RELOAD_AGAIN, lambda: self.reload(tries - 1))
+                return self.loop.after(RELOAD_RETRY_S, lambda: self.reload(tries - 1))
             self.log("reload refused", f"{error}; the configuration is unchanged")
             return None
         descriptions = "; ".join(filter(None, [apply() for apply in changes]))
