--- a/yewhook/connection_limiter.py
+++ b/yewhook/connection_limiter.py
@@ -30,7 +30,7 @@
     """What a connection is doing and since when."""
 
     activity: ConnectionActivity
-    since: float  # the time of the last byte, or of the last answer's end
+    since: float  # seconds; when the last byte arrived, or the last answer ended
 
 
 ConnectionT = TypeVar("ConnectionT")
@@ -44,6 +44,8 @@
 
     Among connections with the same activity, those come first that have had it for longest.
     """
-    closable = [(s, connection) for s, connection in statuses if now - s.since >= s.activity.value]
+    closable = [
+        (status, connection) for status, connection in statuses if now - status.since >= status.activity.value
+    ]
     closable.sort(key=lambda entry: (_CLOSE_ORDER[entry[0].activity], entry[0].since))
     return [connection for _, connection in closable[:max_count]]
--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -40,7 +40,7 @@
     def __init__(self, log: Log, clock: Callable[[], float] = time.monotonic) -> None:
         self.log, self._clock = log, clock
         self.deadlines = Deadlines()
-        self.pollers: list[Callable[[], None]] = []  # called in each turn; they cause none
+        self.pollers: list[Callable[[], None]] = []  # called in each turn, but never cause one
         self.deciders: list[Decider] = []
         self.stopped = False
         # When the files were polled in this turn and in the one before it
--- a/yewhook/operations/hot_restart.py
+++ b/yewhook/operations/hot_restart.py
@@ -18,7 +18,7 @@
 from .process_neighbours import POLL_INTERVAL_S, READY_RENEWAL_S, Neighbours, NeighbourStatus
 
 HANDOVER_TIMEOUT_S = 0.6  # time for the predecessor to notice this process and to write its hand-over
-HANDOVER_POLL_S = 0.02
+HANDOVER_POLL_S = 0.02  # between checks for the hand-over
 
 
 class HotRestart:
--- a/yewhook/operations/process_files.py
+++ b/yewhook/operations/process_files.py
@@ -28,9 +28,8 @@
         self._lock = os.open(unnumbered, os.O_CREAT | os.O_RDWR | os.O_EXCL | os.O_CLOEXEC, 0o600)
         fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         self.number = max(self._numbers(), default=0) + 1
-        while (
-            True
-        ):  # the file is locked before it gets its name, so that nobody takes it for a dead process's
+        # The file is locked before it gets its name, so that no process takes it for that of a dead one.
+        while True:
             try:
                 os.link(unnumbered, self._path(self.number, "process"))
                 break
--- a/yewhook/platform/clients.py
+++ b/yewhook/platform/clients.py
@@ -25,7 +25,7 @@
 from . import http
 
 CHAT_COMPLETIONS_PATH = b"/v1/chat/completions"
-SLOW_CLIENT_BYTES = 65536  # sent and not yet taken by a client, above which its stream is not read
+SLOW_CLIENT_BYTES = 65536  # waiting to be sent to a client, above which its stream is not read
 CAUGHT_UP_BYTES = 16384  # below which it is read again
 TRANSIT_ALLOWANCE_S = 0.001  # subtracted from a client's time for the transit of its request and its response
 MAX_PIPELINED_REQUESTS = 4  # requests that may wait on one connection behind the one being served
@@ -61,7 +61,7 @@
     headers: dict[str, str] = field(default_factory=dict)
     body: bytearray = field(default_factory=bytearray)
     keep_alive: bool = True
-    began: float = 0.0
+    began: float = 0.0  # the loop's time in seconds at which it may have begun to arrive
     rejected: BadRequest | None = None  # the error to answer with, in the order of the requests
 
 
@@ -194,9 +194,8 @@
             if self._unparsed_head_bytes > http.MAX_HEAD_BYTES:  # the parser buffers incomplete fields
                 raise BadRequest(431, "the head is too large")
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, BadRequest) as error:
-            cause = (
-                error if isinstance(error, BadRequest) else error.__context__
-            )  # the parser wraps callbacks'
+            # The parser wraps an exception that a callback raises.
+            cause = error if isinstance(error, BadRequest) else error.__context__
             self._reject(cause if isinstance(cause, BadRequest) else BadRequest(400, "not HTTP/1.1"))
         self._serve_next()
 
@@ -482,7 +481,7 @@
             connection.close_to_free_socket()
 
     def set_mode(self, mode: FrontMode) -> None:
-        """Put a mode in force; only state DRAINED accepts connections and closes idle ones."""
+        """Apply a mode; only state DRAINED accepts connections and closes idle ones."""
         self._drained_since = self.loop.now if mode.accepting and mode.close_idle else math.inf
         super().set_mode(mode)
 
--- a/yewhook/platform/discovery.py
+++ b/yewhook/platform/discovery.py
@@ -3,8 +3,8 @@
 One call is active and brings each change. When it ends or falls silent, another call is opened and replaces
 it once it has been answered.
 
-A change counts as known to every router some seconds after discovery has it, whatever became of the call that
-should have brought it. So a call that ends, in any way, is followed by another one within the bound of
+Every router is expected to know a change some seconds after discovery has it, even where the call that should
+have brought it has failed. So a call that ends, in any way, is followed by another one within the bound of
 `Backoff`, and a call that is not answered soon gets a second one beside it.
 """
 
@@ -31,14 +31,16 @@
 SILENCE_TIMEOUT_S = 2.5  # discovery sends an empty line every 2 s
 # Time after which an unanswered call gets a second one beside it: its length for each router of the tier, and
 # its bounds. Discovery answers many callers in turn, and each further call makes all the others wait longer.
-# Silence, this wait and the interval between checks together stay under the 6 s after which a list counts as
-# known.
+# Silence, this wait and the interval between checks together stay under the 6 s after which every router is
+# expected to know a list.
 ANSWER_TIMEOUT_PER_ROUTER_S = 0.15
 MIN_ANSWER_TIMEOUT_S = 1.0
 MAX_ANSWER_TIMEOUT_S = 2.5
-MAX_UNANSWERED_CALLS = 2  # a call that is closed and opened again starts at the end of discovery's queue
-CHECK_INTERVAL_S = 0.1
-REJECT_OLDER_S = 2.0  # after a hot restart, in which a list older than the one handed over is rejected
+# Beyond this number the oldest call is closed. A single call that is closed and opened again would start at
+# the end of discovery's queue each time.
+MAX_UNANSWERED_CALLS = 2
+CHECK_INTERVAL_S = 0.1  # between checks whether another call is needed
+REJECT_OLDER_S = 2.0  # for which, after a hot restart, lists older than the one handed over are rejected
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
 
@@ -145,10 +147,8 @@
         """
         self._loop, self._worker_list, self._listed = loop, worker_list, listed
         self._address = address  # of the next call
-        self._generation, self._generation_address = (
-            generation,
-            address,
-        )  # known, and which address counted it
+        # The generation of the known list, and the address of the discovery that counted it
+        self._generation, self._generation_address = generation, address
         self._backoff = Backoff(routers, random)
         self._answer_timeout_s = min(
             MAX_ANSWER_TIMEOUT_S, max(MIN_ANSWER_TIMEOUT_S, ANSWER_TIMEOUT_PER_ROUTER_S * routers)
--- a/yewhook/platform/front.py
+++ b/yewhook/platform/front.py
@@ -150,7 +150,7 @@
         )
 
     def set_mode(self, mode: FrontMode) -> None:
-        """Put a mode in force; the peer socket is closed while a successor uses the address."""
+        """Apply a mode; the peer socket is closed while a successor uses the address."""
         super().set_mode(mode)
         if self.peers is not None and mode.accepting:
             self.peers.open()
@@ -188,10 +188,10 @@
         return self.loop.now - self.watch.last_message_at
 
     def reload(self) -> Callable[[], str]:
-        """Read the configuration again; returns a function that puts it in force. Raises ConfigError."""
+        """Read the configuration again; returns a function that applies it. Raises ConfigError."""
         config = self._read_config()
 
-        def put_in_force() -> str:
+        def apply() -> str:
             """Switch to another discovery address; no other change takes effect before a restart."""
             old, self._config = self._config, config
             if config.discovery == old.discovery:
@@ -199,7 +199,7 @@
             self.watch.switch_address(config.discovery)
             return f"discovery is now at {config.discovery[0]}:{config.discovery[1]}"
 
-        return put_in_force
+        return apply
 
     def close(self) -> None:
         """Close the discovery watch, the snapshot store and the peer socket."""
--- a/yewhook/platform/workers.py
+++ b/yewhook/platform/workers.py
@@ -24,10 +24,10 @@
 # then. For the others the limit is higher, but no client may be kept waiting for 5 s.
 STREAM_SILENCE_S = 2.5
 STREAM_SILENCE_NO_RESUME_S = 4.5
-UNREAD_GRACE_S = 0.02  # added to that limit where the kernel holds unread bytes at that moment
+UNREAD_GRACE_S = 0.02  # added to these limits where the kernel holds unread bytes at that moment
 MAX_UNSTREAMED_BODY_BYTES = 64 * 1024  # of a response that is not a stream; the rest is ignored
 REUSE_DELAY_S = 0.03  # for which a kept connection rests before its next exchange
-PARTIAL_TIMEOUT_S = 1.0  # for a head, a chunk or an event that has begun to be completed
+PARTIAL_TIMEOUT_S = 1.0  # from the beginning of a head, a chunk or an event to its end
 LOAD_REPORT_HEADER = "x-pressure"
 LOAD_REPORT_COMMENT = b": X-Pressure:"
 
@@ -165,7 +165,7 @@
             self._timer.cancel()
 
     def _watch_stream(self) -> None:
-        """Break off a silent stream: it has no deadline, and a hung machine never ends it."""
+        """Break off a silent stream: it has no deadline, and a worker that hangs never ends it."""
         if self.channel.paused:  # by the router, since the client is slow
             self._last_event_at = self.pool.loop.now
         left = self._last_event_at + self.pool.stream_silence_s - self.pool.loop.now
@@ -298,10 +298,10 @@
         self._cached_tokens = 0
         self._load: interface.Load | None = None
 
-    def begin(self, address: Address, compose: Callable[[], bytes], within: float) -> None:
-        """Send the request; the connection must be up within `within` seconds."""
+    def begin(self, address: Address, compose: Callable[[], bytes], connect_timeout: float) -> None:
+        """Send the request; the connection must be up within `connect_timeout` seconds."""
         self.connection = self.workers.pool.request(address, self, compose)
-        self.connection.limit_connect_time(within)
+        self.connection.limit_connect_time(connect_timeout)
 
     def give_up(self) -> bool:
         """Abandon the attempt; returns whether the request had been written whole."""
@@ -415,22 +415,28 @@
         self.pool, self.columns = pool, columns
 
     def send(
-        self, request_id: str, attempt: int, server: int, call: object, timeout: float, begins: float
+        self,
+        request_id: str,
+        attempt: int,
+        server: int,
+        payload: object,
+        timeout: float,
+        connect_timeout: float,
     ) -> None:
         """Send one attempt.
 
-        `call` is the client's `HttpRequest`, `timeout` its remaining time, and `begins` the time in which the
-        connection must be up; both are in seconds.
+        `payload` is the client's `HttpRequest`, `timeout` its remaining time, and `connect_timeout` the time
+        in which the connection must be up; both are in seconds.
         """
-        assert isinstance(call, HttpRequest)
-        fields = {"host": "worker", "content-type": "application/json"} | http.end_to_end(call.headers)
-        fields |= {"X-Txn": request_id, "Content-Length": str(len(call.body))}
-        start = f"{call.method.decode('latin-1')} {call.target.decode('latin-1')} HTTP/1.1"
+        assert isinstance(payload, HttpRequest)
+        fields = {"host": "worker", "content-type": "application/json"} | http.end_to_end(payload.headers)
+        fields |= {"X-Txn": request_id, "Content-Length": str(len(payload.body))}
+        start = f"{payload.method.decode('latin-1')} {payload.target.decode('latin-1')} HTTP/1.1"
         expires = self.loop.now + timeout
 
         def compose() -> bytes:
             remaining = max(1, round((expires - self.loop.now) * 1e6))
-            return http.head(start, fields | {"X-Remaining": f"{remaining}u"}) + call.body
+            return http.head(start, fields | {"X-Remaining": f"{remaining}u"}) + payload.body
 
         exchange = AttemptExchange(self, request_id, attempt)
-        self.begin(exchange, server, lambda address: exchange.begin(address, compose, begins))
+        self.begin(exchange, server, lambda address: exchange.begin(address, compose, connect_timeout))
