--- a/yewhook/levels/admission.py
+++ b/yewhook/levels/admission.py
@@ -1,4 +1,4 @@
-"""Which share of the demand a level admits: divided among clients first, then by worth per unit of work.
+"""Which share of the demand a level admits: divided among tenants first, then by worth per unit of work.
 
 The level determines which kinds of turn may be shed. How much of them is shed follows the load and no more,
 so that admission does not jump when a threshold is crossed. Kinds that a better level may shed go first, and
@@ -23,7 +23,7 @@
     RefusalLoss.NEW_SESSION: 1.0,
     RefusalLoss.CLIENT_RETRY: 0.5,
 }
-# The share admitted of each kind of turn
+# By kind of turn, the share of its work that is admitted, from 0 to 1
 Shares = Mapping[TurnKind, float]
 
 
@@ -59,13 +59,13 @@
     top: frozenset[int],
     late: float = 0.0,
 ) -> list[dict[TurnKind, float]]:
-    """For each client the share, 0 to 1, to admit of each kind of turn that it sends.
+    """For each tenant the share, 0 to 1, to admit of each kind of turn that its clients send.
 
-    `demand` is the work per second by client and kind, `capacity` the work per second to admit of all of it,
+    `demand` is the work per second by tenant and kind, `capacity` the work per second to admit of all of it,
     `top` the top classes, and `late` the share of the worth that is answered late at present.
     """
     requested = [sum(kinds.values()) for kinds in demand]
-    weights = [client.share for client in settings.tenants] or [1.0]
+    weights = [entry.share for entry in settings.tenants] or [1.0]
     if not any(weights):
         weights = [1.0] * len(weights)
     allocated = max_min(requested, weights, capacity)
--- a/yewhook/levels/demand.py
+++ b/yewhook/levels/demand.py
@@ -1,4 +1,4 @@
-"""How much work is requested, by kind of turn and by client."""
+"""How much work is requested, by kind of turn and by tenant."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
             self._decided.add(turn.work, now)
 
     def arrival_rates(self, tenant: int, now: float) -> dict[TurnKind, float]:
-        """Work per second that a client requests, by kind of turn, retries included."""
+        """Work per second that a tenant requests, by kind of turn, retries included."""
         return {kind: rate.at(now) for kind, rate in self._kinds[tenant].items()}
 
     def arrival_rate(self, now: float) -> float:
-        """Work per second that all clients request, retries included."""
+        """Work per second that all tenants request, retries included."""
         return self._arrived.at(now)
 
     def decided_rate(self, now: float) -> float:
--- a/yewhook/levels/estimators.py
+++ b/yewhook/levels/estimators.py
@@ -124,11 +124,11 @@
 
 
 class RecentKeys:
-    """Whether a key was added within the last one to two spans: two generations of a Bloom filter (Bloom
-    1970).
+    """Whether a key was added within the last one to two spans.
 
-    With 2**16 bits per generation, 5,000 keys in a span give 1 false positive in 60 with both generations
-    full, and 10,000 keys 1 in 10. There are no false negatives within one span.
+    Kept as two generations of a Bloom filter (Bloom 1970). With 2**16 bits per generation, 5,000 keys in a
+    span give 1 false positive in 60 with both generations full, and 10,000 keys 1 in 10. There are no false
+    negatives within one span.
     """
 
     BIT_COUNT, HASH_COUNT = 1 << 16, 3
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -47,7 +47,7 @@
     answered_at: float | None = None  # s, when its answer began
 
 
-# Returns the usage of each role's servers at a time in seconds
+# Returns the usage of each role's servers at a given time, in seconds of the loop's clock
 RoleUsageSource = Callable[[float], dict[Role, interface.RoleUsage]]
 
 
@@ -342,7 +342,7 @@
         }  # fmt: skip
 
     def _admitted_share(self, tenant: int, now: float) -> float:
-        """The share of a client's work that is admitted."""
+        """The share of a tenant's work that is admitted."""
         kinds = self._demand.arrival_rates(tenant, now)
         total = sum(kinds.values())
         shares = self._shares[tenant]
--- a/yewhook/levels/turns.py
+++ b/yewhook/levels/turns.py
@@ -33,7 +33,7 @@
 
     cls: int  # index of the request class
     refusal_loss: RefusalLoss
-    over_share: bool  # beyond its client's quota
+    over_share: bool  # beyond its tenant's quota
     long: bool  # far more work than the mean of its class
 
 
@@ -67,7 +67,7 @@
         self._quotas = Quotas(settings)
 
     def classify(self, event: RequestArrived, now: float) -> Turn:
-        """Estimates an arriving turn, and counts it against its client's quota."""
+        """Estimates an arriving turn, and counts it against its tenant's quota."""
         open_session = self._open_sessions.seen(event.session, now)
         work = self._estimated_work(event, open_session)
         mean = self._work[event.cls]
--- a/yewhook/recovery/desired_state.py
+++ b/yewhook/recovery/desired_state.py
@@ -29,9 +29,8 @@
     """The desired state of all instances of an agent."""
 
     revision: int = 0  # number of changes
-    instances: Mapping[str, DesiredInstance] = field(
-        default_factory=dict
-    )  # only those that differ from the default
+    # By name; only those that differ from the default
+    instances: Mapping[str, DesiredInstance] = field(default_factory=dict)
 
     def instance(self, name: str) -> DesiredInstance:
         """The desired state of an instance, or the default."""
--- a/yewhook/recovery/peer_messages.py
+++ b/yewhook/recovery/peer_messages.py
@@ -13,7 +13,7 @@
 
 from .phases import Phase
 
-MARK = b"P"  # the first byte
+MARK = b"P"  # the first byte, by which these messages differ from those of the routing module
 VERSION = 1
 # Mark, version, flags, phase, number of workers, late share (255 = all), sampled turns (tenths), uptime
 # (tenths of a second)
@@ -21,12 +21,12 @@
 WORKER_RECORD = struct.Struct("!QBB")  # number, whether it runs, age of that in tenths of a second
 MAX_WORKERS = 20
 MAX_MESSAGE_BYTES = 256  # the platform's limit on datagrams
-ASKS_FLAG = 1
+ASKS_FLAG = 1  # bit of the flags: the others are to reply
 FIRST_MESSAGE_DELAY_S = (0.05, 0.6)  # after the start, at random
 MESSAGE_INTERVAL_S = 1.0  # while a router recovers; times 1 to 2 at random
 MEAN_QUERIES = 3.0  # first messages of the whole fleet that ask the others to reply
 MEAN_REPLIES = 4.0  # of the whole fleet to one query
-REPLY_DELAY_S = (0.02, 0.3)  # at random
+REPLY_DELAY_S = (0.02, 0.3)  # after a query, at random
 
 
 @dataclass(frozen=True, slots=True)
--- a/yewhook/recovery/ramp.py
+++ b/yewhook/recovery/ramp.py
@@ -25,7 +25,7 @@
 INITIAL_RATE_SHARE = 0.5  # of the proven turn rate, if that is over the minimum
 MAX_DEMAND_MULTIPLE = 2.0  # bounds the rate; at this multiple of the demand all of it is admitted
 MIN_CUT_INTERVAL_S = 1.0  # for so long after a cut, turns that were admitted before it can still end late
-OVER_SHARE_RESERVE = 0.3  # share of the bucket that a client beyond its share must leave to others
+OVER_SHARE_RESERVE = 0.3  # share of the bucket that a tenant beyond its share must leave to others
 BASE_RETRY_AFTER_S = 0.5  # longest wait that is advised when no turns are refused
 MAX_RETRY_AFTER_S = 5.0  # longest wait that is ever advised
 MAX_REFUSED_SHARE = 0.02  # of the demand, up to which all of it counts as admitted
@@ -38,11 +38,11 @@
     TOP_CLASS = 1  # a class of the highest worth per unit of work
     OPEN_SESSION = 2  # a session whose text is still cached
     NEW_SESSION = 3
-    OVER_SHARE_OR_RETRY = 4  # beyond its client's share, or the client's own retry
+    OVER_SHARE_OR_RETRY = 4  # beyond its tenant's share, or a client's own retry
 
 
 # Share of the bucket that a rank leaves to the better ones. Resumed streams and the top class do not draw on
-# the bucket: the module refuses those that find no room, and limits on them here only lost worth.
+# the bucket: the module refuses those that find no room, and limiting them here too only lost worth.
 RESERVED_BUCKET_SHARE = {Rank.OPEN_SESSION: 0.0, Rank.NEW_SESSION: 0.3, Rank.OVER_SHARE_OR_RETRY: 0.6}
 
 
@@ -63,14 +63,14 @@
     """Admits turns at a rate that rises while answers are in time and is cut when they are late."""
 
     def __init__(self, settings: RecoverySettings, weights: Sequence[float], now: float) -> None:
-        """`weights` = the clients' shares; without any, all turns belong to one client."""
+        """`weights` = the tenants' shares; without any, all turns belong to one tenant."""
         self.settings, self._weights = settings, list(weights) or [1.0]
         self.rate = 0.0  # turns per second, of the ranks that draw on the bucket
         self.lateness = DecayingRatio(LATE_TIME_CONSTANT_S, 0.0)  # share of worth that was late or lost
         self._tokens, self._refilled_at = 0.0, now
         self._updated_at = self._cut_at = now
         self._probe_factor = 1.0  # the rate is tried up to this multiple of the proven turn rate
-        # Turns per second by client
+        # Turns per second by tenant
         self._demand = [DecayingRate(DEMAND_TIME_CONSTANT_S, now) for _ in self._weights]
         self._admitted = [DecayingRate(DEMAND_TIME_CONSTANT_S, now) for _ in self._weights]
         # Turns per second of the ranks that do not draw on the bucket, and refused ones
@@ -135,7 +135,7 @@
     def _reserved_share(self, turn_rank: Rank, tenant: int, now: float) -> float:
         """The share of the bucket that must be left.
 
-        It is larger for a client that already has its max-min fair share while the demand exceeds the total.
+        It is larger for a tenant that already has its max-min fair share while the demand exceeds the total.
         """
         demand, total = [rate.at(now) for rate in self._demand], self.rate + self._exempt.at(now)
         fair_share = max_min(demand, self._weights, total)[tenant]
--- a/yewhook/recovery/recovery.py
+++ b/yewhook/recovery/recovery.py
@@ -162,22 +162,22 @@
         if went_back:
             self._generation_went_back = True
             self.log("register began anew", f"generation {generation}; omitted workers are kept for now")
-        held = dict(self._servers)
+        known_before = dict(self._servers)
         if self._previous_run is not None:
-            held = {server.id: server for server in self._previous_run.servers} | held
+            known_before = {server.id: server for server in self._previous_run.servers} | known_before
         listed, ids = (
             tuple(self._with_drain(server, went_back) for server in servers),
             {server.id for server in servers},
         )
         kept: tuple[interface.Server, ...] = ()
         if went_back:
-            omitted = held.keys() - ids
+            omitted = known_before.keys() - ids
             self._omitted_until = {
-                n: now + OMITTED_RETENTION_S for n in omitted if held[n].state is not ServerState.GONE
+                n: now + OMITTED_RETENTION_S for n in omitted if known_before[n].state is not ServerState.GONE
             }
         self._omitted_until = {n: until for n, until in self._omitted_until.items() if n not in ids}
         if full:
-            kept = tuple(held[n] for n in self._omitted_until)
+            kept = tuple(known_before[n] for n in self._omitted_until)
         if full and self._previous_run is not None:
             # From the register only: the list of the configuration or of the snapshot holds earlier starts.
             previous = {server.id for server in self._previous_run.servers}
--- a/yewhook/recovery/snapshot.py
+++ b/yewhook/recovery/snapshot.py
@@ -49,7 +49,7 @@
 
 
 def fleet_id(settings: Settings, names: Names) -> str:
-    """A hash, equal for processes that number classes, kinds, clients and zones in the same way."""
+    """A hash, equal for processes that number classes, kinds, tenants and zones in the same way."""
     text = repr((names.classes, names.tenants, names.zones, names.kinds, settings.roles))
     return blake2b(text.encode(), digest_size=8).hexdigest()
 
--- a/yewhook/recovery/snapshot_store.py
+++ b/yewhook/recovery/snapshot_store.py
@@ -30,7 +30,7 @@
 
 FILE_NAME = "snapshot"
 CHECK_INTERVAL_S = 0.1  # between checks for due messages, omitted workers and new drain orders
-MAX_WRITE_TIME_SHARE = 0.01  # of the loop's time, that snapshots may take
+MAX_WRITE_TIME_SHARE = 0.01  # part of the loop's time that snapshots may take
 LocatedServer = tuple[interface.Server, "Address | None"]
 
 
@@ -206,9 +206,8 @@
             and not self._write_steps
             and self.recovery.draining_workers != self._saved_drains
         ):
-            self._write_timer.set(
-                0.0, self._write
-            )  # at once, so that a power loss does not undo a drain order
+            # At once, so that a power loss does not undo a drain order
+            self._write_timer.set(0.0, self._write)
         self._check_timer.set(CHECK_INTERVAL_S, self._check)
 
     def _restore(self) -> None:
