--- a/yewhook/connection_pool.py
+++ b/yewhook/connection_pool.py
@@ -34,20 +34,20 @@
     def __init__(
         self,
         loop: Loop,
-        room: Callable[[], bool],
+        can_open: Callable[[], bool],
         idle_limit: float,
         connect: Callable[[Address], ConnectionT],
         reuse_delay_s: float = 0.0,
     ) -> None:
         """Create an empty pool.
 
-        `room` tells whether another socket may be opened; `idle_limit` is the time in seconds after which
+        `can_open` says whether another socket may be opened; `idle_limit` is the time in seconds after which
         servers close idle connections. A kept connection is not reused before `reuse_delay_s`, so that bytes
         that a server sends after its response are noticed and not taken for the next one.
         """
         self.loop, self._reuse_delay_s = loop, reuse_delay_s
         self.liveness = Liveness()
-        self._room, self._idle_timeout_s, self._connect = room, idle_limit * IDLE_LIMIT_SHARE, connect
+        self._can_open, self._idle_timeout_s, self._connect = can_open, idle_limit * IDLE_LIMIT_SHARE, connect
         self._idle: dict[Address, list[ConnectionT]] = {}
         self._sweep()
 
@@ -65,7 +65,7 @@
             if not connection.channel.closed and not connection.channel.unread:
                 return connection
             connection.close()
-        if not self._room() and not self._free_socket():
+        if not self._can_open() and not self._free_socket():
             raise OSError("too many sockets")
         return self._connect(address)
 
--- a/yewhook/front.py
+++ b/yewhook/front.py
@@ -157,7 +157,10 @@
     def end(
         self, attempt: AttemptT, ending: Ending, note: int = 0, load: interface.Load | None = None
     ) -> None:
-        """Report an attempt's end to the core, unless it has been abandoned."""
+        """Report an attempt's end to the core, unless it has been abandoned.
+
+        `note` is that of `interface.AttemptEnded`, and `load` the worker's latest load report.
+        """
         if self._pending.pop((attempt.request_id, attempt.number), None) is not None:
             self.listener.attempt_ended(attempt.request_id, attempt.number, ending, note, load)
 
--- a/yewhook/levels/discovery_health.py
+++ b/yewhook/levels/discovery_health.py
@@ -6,6 +6,7 @@
 
 STALE_AFTER_S = 5.0  # age of the last message from discovery above which contradictions count double
 CONTRADICTED_S = 6.0  # for which a server counts as contradicted after it was unreachable or silent
+# Outcomes of an attempt that contradict or confirm that the server runs, as the list says
 CONTRADICTING = frozenset({Outcome.UNREACHABLE, Outcome.TIMED_OUT, Outcome.RESET})
 CONFIRMING = frozenset({Outcome.OK, Outcome.READ, Outcome.FULL})
 
--- a/yewhook/levels/level_state.py
+++ b/yewhook/levels/level_state.py
@@ -99,8 +99,8 @@
         """On entering a level: raises its backoff if it was left only recently, and lowers it otherwise."""
         factor, backoff = self._backoff.get(level, 1.0), self.settings.backoff
         failed = now - self._left_at.get(level, -math.inf) < self.settings.relapse + self.required_calm(level)
-        most = self.settings.leave_most / max(self.settings.leave_after, 1e-9)
-        self._backoff[level] = min(factor * backoff, most) if failed else max(1.0, factor / backoff)
+        max_factor = self.settings.leave_most / max(self.settings.leave_after, 1e-9)
+        self._backoff[level] = min(factor * backoff, max_factor) if failed else max(1.0, factor / backoff)
 
     def _improve(self, now: float, signals: Signals) -> Change | None:
         """Goes to the next better level after the calm required."""
--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -79,12 +79,12 @@
             again = self.run_turn(0.0 if again else None)
         self._selector.close()
 
-    def run_turn(self, longest: float | None = None) -> bool:
-        """Run one turn, waiting at most `longest` seconds for it.
+    def run_turn(self, max_wait_s: float | None = None) -> bool:
+        """Run one turn, waiting at most `max_wait_s` for events or timers.
 
         Returns whether another decision is due at once.
         """
-        waits = [] if longest is None else [longest]
+        waits = [] if max_wait_s is None else [max_wait_s]
         if (due := self.deadlines.next_due()) is not None:
             waits.append(max(0.0, due - self._clock()))
         ready = self._selector.select(min(waits, default=None))
--- a/yewhook/operations/instance.py
+++ b/yewhook/operations/instance.py
@@ -50,6 +50,7 @@
     shutting_down: bool = False  # whether the process never accepts again
 
 
+# The mode that each state sets
 FRONT_MODES = {
     State.STARTING: FrontMode(healthy=False, accepting=True, keep_alive=True, close_idle=False),
     State.SUCCEEDING: FrontMode(healthy=False, accepting=False, keep_alive=True, close_idle=False),
--- a/yewhook/operations/process_files.py
+++ b/yewhook/operations/process_files.py
@@ -14,7 +14,7 @@
 import time
 from pathlib import Path
 
-FILE_NAME = re.compile(r"([0-9]{1,9})\.(process|ready|handover)")
+FILE_NAME = re.compile(r"([0-9]{1,9})\.(process|ready|handover)")  # process number and kind of file
 
 
 class ProcessFiles:
--- a/yewhook/platform/clients.py
+++ b/yewhook/platform/clients.py
@@ -37,8 +37,8 @@
 BAD_REQUEST_PAUSE_S = 0.5  # for which a connection is not read after an invalid request
 MAX_TOKENS = 1_000_000  # in a prompt, its prefix or its output; no body of the permitted size holds as many
 MAX_PATIENCE_S = 3600.0  # a longer X-Remaining is reduced to this
-STATUS_BY_ENDING = {Ending.TIMED_OUT: 504, Ending.UNSENT_IN_TIME: 504, None: 500}  # 502 for all others
-
+# HTTP status of a failed request, by how its last attempt ended (None = no attempt); 502 for all others
+STATUS_BY_ENDING = {Ending.TIMED_OUT: 504, Ending.UNSENT_IN_TIME: 504, None: 500}
 
 # Header fields that decide how a request is parsed or handled; a request that repeats one is rejected.
 SINGLE_VALUE_HEADERS = {"content-length", "transfer-encoding", "x-remaining", *http.WORKER_HEADERS, "x-txn"}
--- a/yewhook/platform/workers.py
+++ b/yewhook/platform/workers.py
@@ -112,10 +112,10 @@
             self._compose_request = None
             self.channel.send(compose())
 
-    def limit_connect_time(self, within: float) -> None:
-        """Shorten the connect timeout to `within` seconds where that is less than the pool's."""
-        if not self.is_connected and within < self.pool.connect_timeout:
-            self._timer.set(within, self._connect_timed_out)
+    def limit_connect_time(self, limit_s: float) -> None:
+        """Shorten the connect timeout to `limit_s` where that is less than the pool's."""
+        if not self.is_connected and limit_s < self.pool.connect_timeout:
+            self._timer.set(limit_s, self._connect_timed_out)
 
     def _connect_timed_out(self) -> None:
         self._fail(Ending.CONNECT_SILENT)
@@ -261,18 +261,18 @@
     def __init__(
         self,
         loop: Loop,
-        room: Callable[[], bool],
+        can_open: Callable[[], bool],
         connect_timeout: float,
         idle_limit: float,
         clients_resume: bool = True,
     ) -> None:
         """Create an empty pool.
 
-        `room` tells whether another socket may be opened; the timeouts are in seconds. `clients_resume` says
-        that clients request the rest of a broken stream from another router.
+        `can_open` says whether another socket may be opened; the timeouts are in seconds. `clients_resume`
+        says that clients request the rest of a broken stream from another router.
         """
         super().__init__(
-            loop, room, idle_limit, lambda address: WorkerConnection(self, address), REUSE_DELAY_S
+            loop, can_open, idle_limit, lambda address: WorkerConnection(self, address), REUSE_DELAY_S
         )
         self.log, self.connect_timeout = loop.log, connect_timeout
         self.stream_silence_s = STREAM_SILENCE_S if clients_resume else STREAM_SILENCE_NO_RESUME_S
--- a/yewhook/recovery/phases.py
+++ b/yewhook/recovery/phases.py
@@ -25,6 +25,7 @@
         return LABELS[self]
 
 
+# Names of the phases in logs and reports
 LABELS = {
     Phase.NOTHING_KNOWN: "nothing known",
     Phase.COLD: "known but cold",
@@ -32,6 +33,7 @@
     Phase.RAMP: "ramp",
     Phase.FULL: "full",
 }
+# What each phase waits for before the next one begins; shown to operators
 NEXT_PHASE_CONDITIONS = {
     Phase.NOTHING_KNOWN: "a list with a reader and a writer, or a mixed worker",
     Phase.COLD: "an answer or a new start of a reader and of a writer, or of a mixed worker",
--- a/yewhook/recovery/recovery.py
+++ b/yewhook/recovery/recovery.py
@@ -33,9 +33,10 @@
 UNREACHABLE_REPORT_S = 5.0  # for which other routers are told that a worker was unreachable
 OMITTED_RETENTION_S = 30.0  # for which workers are kept that the list of a restarted register omits
 LEVEL_NAME = "recovering"  # the level of service that the module is told while service returns
+# Outcomes of an attempt by which its worker is known to run, or not to answer
 ALIVE_OUTCOMES = frozenset({Outcome.OK, Outcome.READ, Outcome.FULL, Outcome.FAILED})
 UNREACHABLE_OUTCOMES = frozenset({Outcome.UNREACHABLE, Outcome.TIMED_OUT})
-WorkerCounts = dict[Role, int]
+WorkerCounts = dict[Role, int]  # number of workers by role
 
 
 @dataclass(frozen=True, slots=True)
@@ -476,8 +477,8 @@
 
     def service_level(self, now: float) -> interface.ServiceLevel:
         """The level of service that the module is told while service returns."""
-        least, most = self.ramp.retry_after(now)
-        return interface.ServiceLevel(LEVEL_NAME, (round(least, 1), round(most, 1)), False)
+        shortest, longest = self.ramp.retry_after(now)
+        return interface.ServiceLevel(LEVEL_NAME, (round(shortest, 1), round(longest, 1)), False)
 
     # ---- operators ----
 
--- a/yewhook/recovery/snapshot_store.py
+++ b/yewhook/recovery/snapshot_store.py
@@ -31,6 +31,7 @@
 FILE_NAME = "snapshot"
 CHECK_INTERVAL_S = 0.1  # between checks for due messages, omitted workers and new drain orders
 MAX_WRITE_TIME_SHARE = 0.01  # part of the loop's time that snapshots may take
+# A worker, and its address if that is known
 LocatedServer = tuple[interface.Server, "Address | None"]
 
 
--- a/yewhook/service.py
+++ b/yewhook/service.py
@@ -95,13 +95,13 @@
         self,
         loop: Loop,
         listener: socket.socket,
-        room: Callable[[], bool],
+        can_accept: Callable[[], bool],
         free_connections: Callable[[], None],
         accepted: Callable[[socket.socket], None],
     ) -> None:
-        """`room` says whether one more is allowed; `free_connections` closes idle ones to make room."""
+        """`can_accept` says whether one more is allowed; `free_connections` closes idle ones to make room."""
         self._loop, self._listener = loop, listener
-        self._room, self._free_connections, self._accepted = room, free_connections, accepted
+        self._can_accept, self._free_connections, self._accepted = can_accept, free_connections, accepted
         self._resume_timer = Timer(loop)
         self._paused = self._closed = False
         # When the kernel's queue was last seen empty, and whether connections were left in it since.
@@ -129,9 +129,9 @@
     def _accept_batch(self) -> bool:
         """Accept up to MAX_ACCEPTS_PER_TURN connections; returns whether more may be waiting."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
-            if not self._room():
+            if not self._can_accept():
                 self._free_connections()
-                if not self._room():
+                if not self._can_accept():
                     self._loop.log("too many sockets", f"{self._loop.sockets} open, accepting later")
                     return self._retry_later()
             try:
