--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -27,11 +27,11 @@
 if TYPE_CHECKING:
     from ..recovery.recovery import Recovery
 
-EVALUATION_INTERVAL_S = 0.25
+EVALUATION_INTERVAL_S = 0.25  # between measurements of the signals
 LATE_TIME_CONSTANT_S = 5.0  # of the signal `late`
 WAITING_TIME_CONSTANT_S = 3.0  # of the signal `waiting`
 LOST_TIME_CONSTANT_S = 10.0  # of the signal `lost`
-TURN_RATE_TIME_CONSTANT_S = 20.0
+TURN_RATE_TIME_CONSTANT_S = 20.0  # of the rate of turns sent to servers
 MIN_WAIT_SAMPLES = 4.0  # turns needed for the signal `waiting`; it is 0 with fewer
 MAX_LOAD_SIGNAL = 10.0  # upper bound of the signal `load`
 ENTRY_GRACE_S = 5.0  # after a request's patience, until an entry that no event ended is dropped
--- a/yewhook/platform/peers.py
+++ b/yewhook/platform/peers.py
@@ -15,9 +15,9 @@
 from ..loop import Loop, Timer
 from ..transient_errors import retry_transient
 
-MAX_MESSAGE_BYTES = 256
+MAX_MESSAGE_BYTES = 256  # the platform's limit on datagrams
 MAX_MESSAGES_PER_TURN = 64
-READ_INTERVAL_S = 0.02
+READ_INTERVAL_S = 0.02  # between reads of the socket, at least
 BIND_RETRY_S = 0.05  # between attempts to bind while another process of this instance holds the address
 
 
--- a/yewhook/recovery/peer_messages.py
+++ b/yewhook/recovery/peer_messages.py
@@ -14,12 +14,12 @@
 from .phases import Phase
 
 MARK = b"P"  # the first byte, by which these messages differ from those of the routing module
-VERSION = 1
+VERSION = 1  # messages of any other version are rejected
 # Mark, version, flags, phase, number of workers, late share (255 = all), sampled turns (tenths), uptime
 # (tenths of a second)
 HEADER = struct.Struct("!cBBBBBBI")
 WORKER_RECORD = struct.Struct("!QBB")  # number, whether it runs, age of that in tenths of a second
-MAX_WORKERS = 20
+MAX_WORKERS = 20  # reported in one message, so that it stays below the limit on datagrams
 MAX_MESSAGE_BYTES = 256  # the platform's limit on datagrams
 ASKS_FLAG = 1  # bit of the flags: the others are to reply
 FIRST_MESSAGE_DELAY_S = (0.05, 0.6)  # after the start, at random
