--- a/yewhook/loop.py
+++ b/yewhook/loop.py
@@ -40,7 +40,7 @@
     def __init__(self, log: Log, clock: Callable[[], float] = time.monotonic) -> None:
         self.log, self._clock = log, clock
         self.deadlines = Deadlines()
-        self.pollers: list[Callable[[], None]] = []  # called in each turn; they cause none
+        self.pollers: list[Callable[[], None]] = []  # called in each turn, but never cause one
         self.deciders: list[Decider] = []
         self.stopped = False
         # When the files were polled in this turn and in the one before it
@@ -79,12 +79,12 @@
             again = self.run_turn(0.0 if again else None)
         self._selector.close()
 
-    def run_turn(self, longest: float | None = None) -> bool:
-        """Run one turn, waiting at most `longest` seconds for it.
+    def run_turn(self, max_wait_s: float | None = None) -> bool:
+        """Run one turn, waiting at most `max_wait_s` for events or timers.
 
         Returns whether another decision is due at once.
         """
-        waits = [] if longest is None else [longest]
+        waits = [] if max_wait_s is None else [max_wait_s]
         if (due := self.deadlines.next_due()) is not None:
             waits.append(max(0.0, due - self._clock()))
         ready = self._selector.select(min(waits, default=None))
