--- a/tests/processes/test_hard_cases.py
+++ b/tests/processes/test_hard_cases.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from yewlab.processes.host import Instance, Process
-from yewlab.processes.net import ClientSide
-from yewlab.processes.operate import Operators, Play, Waits
-from yewlab.processes.stage import Stage
+from yewlab.processes.http_connections import ClientConnection
+from yewlab.processes.instances import Instance, Process
+from yewlab.processes.operate import Operators, Script, ScriptRunner
+from yewlab.processes.testbed import ProcessTestBed
 
 MOST = 30.0  # s for one case
 RATE = 12.0  # turns a second
@@ -23,71 +23,73 @@
     """A stage with one instance that serves clients, and a script that is played on it."""
 
     def __init__(self, folder: Path) -> None:
-        self.stage = Stage(folder, 1, seed=5, rate=RATE)
-        self.loop, self.operators = self.stage.loop, Operators(self.stage)
-        self.instance: Instance = self.stage.instances[0]
-        self.way = self.stage.clients.ways[0]
+        self.test_bed = ProcessTestBed(folder, 1, seed=5, rate=RATE)
+        self.loop, self.operators = self.test_bed.loop, Operators(self.test_bed)
+        self.instance: Instance = self.test_bed.instances[0]
+        self.route = self.test_bed.clients.routes[0]
 
-    def play(self, script: Callable[[Process], Waits]) -> None:
+    def play(self, script: Callable[[Process], Script]) -> None:
         """Serve, play the script, let everything end; then all that must hold is asked."""
 
-        def whole() -> Waits:
-            first = self.instance.start()
-            yield from self.operators.yes(self.instance, first)
-            yield lambda: self.way.healthy
-            self.stage.clients.begin()
+        def whole() -> Script:
+            first = self.instance.start_process()
+            yield from self.operators.wait_ready(self.instance, first)
+            yield lambda: self.route.healthy
+            self.test_bed.clients.start()
             yield 1.0
             yield from script(first)
             yield 0.5
-            self.stage.clients.stopped = True
-            yield lambda: not self.stage.clients.open
-
-        self.operators.begin()
-        done = Play(self.loop).whole(self.stage, whole(), MOST)
-        tally, count = self.stage.clients.tally, self.operators.count
-        assert done, self.operators.story
-        assert self.stage.rules.broken == []
+            self.test_bed.clients.stopped = True
+            yield lambda: not self.test_bed.clients.open_requests
+
+        self.operators.start_clock()
+        done = ScriptRunner(self.loop).run(self.test_bed, whole(), MOST)
+        tally, count = self.test_bed.clients.tally, self.operators.counts
+        assert done, self.operators.timeline
+        assert self.test_bed.rules.broken == []
         assert tally.requests == tally.answered_once + tally.lost_with_process > 0
-        assert (tally.unread, count.held, count.late_yes) == (0, 0, 0)
-        assert (count.door_late, count.door_wrong) == (0, 0)
+        assert (tally.unanswered_on_new, count.drain_violations, count.late_ready) == (0, 0, 0)
+        assert (count.mgmt_timeouts, count.mgmt_wrong_status) == (0, 0)
         for process in self.instance.processes:
-            assert not process.said("turn failed") and not process.said("handler failed")
+            assert not process.count_log_lines("turn failed") and not process.count_log_lines(
+                "handler failed"
+            )
 
-    def yes(self, process: Process) -> Waits:
-        yield from self.operators.yes(self.instance, process)
-        assert process.yes_at is not None
+    def wait_ready(self, process: Process) -> Script:
+        yield from self.operators.wait_ready(self.instance, process)
+        assert process.ready_at is not None
 
-    def end(self, process: Process) -> Waits:
-        self.instance.end(process)
+    def end(self, process: Process) -> Script:
+        self.instance.terminate(process)
         yield lambda: not process.running
         assert not process.killed
 
-    def call(self, process: Process, path: str, wanted: int = 200) -> Waits:
-        yield from self.operators.call(process, "POST", path, wanted)
+    def call(self, process: Process, path: str, wanted: int = 200) -> Script:
+        yield from self.operators.call_mgmt(process, "POST", path, wanted)
 
-    def until(self, process: Process, event: str) -> Waits:
+    def until(self, process: Process, event: str) -> Script:
         end = self.loop.now + 5.0
-        yield lambda: process.said(event) > 0 or self.loop.now > end
-        assert process.said(event), process.log.read_text()
+        yield lambda: process.count_log_lines(event) > 0 or self.loop.now > end
+        assert process.count_log_lines(event), process.log_path.read_text()
 
 
 @pytest.fixture
 def case(tmp_path: Path) -> Iterator[Case]:
     played = Case(tmp_path)
     yield played
-    played.stage.close()
+    played.test_bed.close()
 
 
 def test_two_upgrades_in_a_row(case: Case) -> None:
-    def script(first: Process) -> Waits:
-        second = case.instance.start()
-        yield from case.yes(second)
-        third = case.instance.start()  # while the first one is still there
-        yield from case.yes(third)
+    def script(first: Process) -> Script:
+        second = case.instance.start_process()
+        yield from case.wait_ready(second)
+        third = case.instance.start_process()  # while the first one is still there
+        yield from case.wait_ready(third)
         yield from case.until(second, "state: ready to handing over")
         yield from case.end(first)
         yield from case.end(second)
-        assert third.said("hand-over taken") and second.said("hand-over taken")
+        assert third.count_log_lines("hand-over taken") and second.count_log_lines("hand-over taken")
         yield from case.call(third, "/-/drain")
         yield from case.call(third, "/-/resume")
 
@@ -96,100 +98,102 @@
 
 @pytest.mark.parametrize("order", ["term drain hup", "hup drain term", "drain hup term"])
 def test_signals_and_orders_during_an_overlap(case: Case, order: str) -> None:
-    def script(first: Process) -> Waits:
-        second = case.instance.start()
+    def script(first: Process) -> Script:
+        second = case.instance.start_process()
         yield from case.until(second, "serving")
-        yield from case.yes(second)
+        yield from case.wait_ready(second)
         yield from case.until(first, "state: ready to handing over")
         for what in order.split():
             if what == "term":
-                case.instance.end(first)
+                case.instance.terminate(first)
             elif what == "hup":
-                first.signal(signal.SIGHUP)
-                second.signal(signal.SIGHUP)
+                first.send_signal(signal.SIGHUP)
+                second.send_signal(signal.SIGHUP)
             else:
                 yield from case.call(second, "/-/drain")
         if "drain" in order:
             yield from case.call(second, "/-/resume")
         yield lambda: not first.running
-        assert second.said("reloaded") == 1
+        assert second.count_log_lines("reloaded") == 1
 
     case.play(script)
 
 
 def test_a_drain_holds_while_the_register_is_silent_and_the_process_is_replaced(case: Case) -> None:
-    def script(first: Process) -> Waits:
-        case.stage.faces[0].silent = True
+    def script(first: Process) -> Script:
+        case.test_bed.discovery_endpoints[0].silent = True
         yield from case.call(first, "/-/drain")
         yield 0.5
-        second = case.instance.start()
-        yield from case.yes(second)
+        second = case.instance.start_process()
+        yield from case.wait_ready(second)
         yield from case.end(first)
         yield 0.3
-        assert not case.way.healthy and second.said("state: succeeding to draining")
+        assert not case.route.healthy and second.count_log_lines("state: succeeding to draining")
         yield from case.call(second, "/-/resume")
         end = case.loop.now + 2.0
-        yield lambda: case.way.healthy or case.loop.now > end
-        assert case.way.healthy
-        case.stage.faces[0].silent = False
+        yield lambda: case.route.healthy or case.loop.now > end
+        assert case.route.healthy
+        case.test_bed.discovery_endpoints[0].silent = False
 
     case.play(script)
 
 
 def test_a_resume_before_the_drain_is_over(case: Case) -> None:
-    def script(first: Process) -> Waits:
+    def script(first: Process) -> Script:
         for wait in (0.0, 0.2, 0.6):
             yield from case.call(first, "/-/drain")
             yield wait
             yield from case.call(first, "/-/resume")
             yield 0.3
-            assert case.way.healthy
+            assert case.route.healthy
 
     case.play(script)
 
 
 def test_half_calls_and_a_crowd_keep_no_operator_waiting(case: Case) -> None:
-    def script(first: Process) -> Waits:
-        case.stage.clients.stopped = True  # the crowd takes what room there is
-        yield lambda: not case.stage.clients.open
-        crowd = [ClientSide(case.loop, case.instance.address) for _ in range(CROWD // 2)]
-        halves = [ClientSide(case.loop, first.door) for _ in range(CALLERS)]
+    def script(first: Process) -> Script:
+        case.test_bed.clients.stopped = True  # the crowd takes what room there is
+        yield lambda: not case.test_bed.clients.open_requests
+        crowd = [ClientConnection(case.loop, case.instance.address) for _ in range(CROWD // 2)]
+        halves = [ClientConnection(case.loop, first.mgmt_address) for _ in range(CALLERS)]
         for half in halves:
             half.channel.send(b"POST /-/drain HTTP/1.1\r\nHo")
-        crowd += [ClientSide(case.loop, case.instance.address) for _ in range(CROWD // 2)]
+        crowd += [ClientConnection(case.loop, case.instance.address) for _ in range(CROWD // 2)]
         for path in ("/-/drain", "/-/resume") * 5:
             yield from case.call(first, path)
             yield 0.05
         for side in (*halves, *crowd):
             side.close()
-        yield lambda: case.way.healthy
+        yield lambda: case.route.healthy
 
     case.play(script)
 
 
 def test_a_worker_told_to_drain_to_the_old_process_only(case: Case) -> None:
-    def script(first: Process) -> Waits:
-        case.stage.register.put("w0", lifecycle="draining")
+    def script(first: Process) -> Script:
+        case.test_bed.discovery.put("w0", lifecycle="draining")
         yield 0.3
-        case.stage.faces[0].silent = True  # the new one hears nothing, and its configuration says `up`
-        second = case.instance.start()
-        yield from case.yes(second)
+        case.test_bed.discovery_endpoints[
+            0
+        ].silent = True  # the new one hears nothing, and its configuration says `up`
+        second = case.instance.start_process()
+        yield from case.wait_ready(second)
         yield from case.end(first)
         yield 2.0  # the rules hold it to what its predecessor was told
-        case.stage.faces[0].silent = False
+        case.test_bed.discovery_endpoints[0].silent = False
 
     case.play(script)
 
 
 def test_a_list_older_than_the_one_handed_over_is_not_believed(case: Case) -> None:
-    def script(first: Process) -> Waits:
-        case.stage.register.put("w0", lifecycle="draining")
+    def script(first: Process) -> Script:
+        case.test_bed.discovery.put("w0", lifecycle="draining")
         yield 0.3
-        second = case.instance.start()
-        case.stage.faces[0].behind = case.stage.register.generation - 1
-        yield from case.yes(second)
+        second = case.instance.start_process()
+        case.test_bed.discovery_endpoints[0].stale_generation = case.test_bed.discovery.generation - 1
+        yield from case.wait_ready(second)
         yield from case.until(second, "discovery watch lost: not understood: a list of generation")
-        case.stage.faces[0].behind = None
+        case.test_bed.discovery_endpoints[0].stale_generation = None
         yield from case.end(first)
         yield 1.5
 
@@ -198,35 +202,35 @@
 
 def test_an_unsafe_request_whose_last_byte_comes_late(case: Case) -> None:
     """Written in two parts, with a step of the upgrade between them: answered once by whoever has it."""
-    turns: list[Half] = []
+    turns: list[PartialRequest] = []
 
-    def script(first: Process) -> Waits:
-        turns.append(Half(case))
-        second = case.instance.start()
-        turns.append(Half(case))
+    def script(first: Process) -> Script:
+        turns.append(PartialRequest(case))
+        second = case.instance.start_process()
+        turns.append(PartialRequest(case))
         yield from case.until(second, "door open")
-        turns[0].end()
-        yield from case.yes(second)
-        turns[1].end()
-        turns.append(Half(case))
+        turns[0].send_rest()
+        yield from case.wait_ready(second)
+        turns[1].send_rest()
+        turns.append(PartialRequest(case))
         yield from case.until(first, "state: ready to handing over")
-        turns.append(Half(case))
-        case.instance.end(first)
-        turns[2].end()
+        turns.append(PartialRequest(case))
+        case.instance.terminate(first)
+        turns[2].send_rest()
         yield 0.2
-        turns[3].end()
+        turns[3].send_rest()
         yield lambda: not first.running and all(turn.status for turn in turns)
         assert not first.killed and {turn.status for turn in turns} == {200}
 
     case.play(script)
 
 
-class Half:
+class PartialRequest:
     """An unsafe request whose last bytes wait for `end`."""
 
     def __init__(self, case: Case) -> None:
-        clients = case.stage.clients
-        self.status, self._case, self._id = 0, case, clients.next_id()
+        clients = case.test_bed.clients
+        self.status, self._case, self._id = 0, case, clients.new_request_id()
         self._rest = b"}"
         head = (
             f"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Txn: {self._id}\r\nX-Lane: service-log\r\n"
@@ -234,25 +238,25 @@
             "X-Labels: prompt_len=800,max_out=200\r\nContent-Length: 15\r\n\r\n"
         )
         effect = clients.settings.classes[1].effect
-        case.stage.rules.came(self._id, effect, case.loop.now + 9.0, case.loop.now)
-        self._side = ClientSide(case.loop, case.instance.address)
-        self._side.ask(self, head.encode() + b'{"stream":true')
+        case.test_bed.rules.came(self._id, effect, case.loop.now + 9.0, case.loop.now)
+        self._side = ClientConnection(case.loop, case.instance.address)
+        self._side.send_request(self, head.encode() + b'{"stream":true')
 
-    def end(self) -> None:
+    def send_rest(self) -> None:
         self._side.channel.send(self._rest)
 
-    def begun(self, status: int, headers: dict[str, str]) -> None:
+    def headers_received(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
-        self._case.stage.rules.began(self._id, self._case.loop.now)
+        self._case.test_bed.rules.began(self._id, self._case.loop.now)
 
-    def data(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """Its end tells."""
 
-    def whole(self) -> None:
-        self._case.stage.rules.answered(self._id, self.status == 503, self._case.loop.now)
+    def completed(self) -> None:
+        self._case.test_bed.rules.answered(self._id, self.status == 503, self._case.loop.now)
 
-    def lost(self, error: OSError | None) -> None:
+    def connection_lost(self, error: OSError | None) -> None:
         if self.status == 200:  # moved
-            return self._case.stage.rules.answered(self._id, False, self._case.loop.now)
+            return self._case.test_bed.rules.answered(self._id, False, self._case.loop.now)
         self.status = -1
         return None
--- a/tests/processes/test_power.py
+++ b/tests/processes/test_power.py
@@ -13,8 +13,13 @@
 
 
 def test_everything_comes_back_and_what_was_drained_stays_so() -> None:
-    plan = replace(draw(3, ("drain", "register-old")), halls=(0.0, 1.0, 2.0), register=1.5, after=6.0)
-    figures, told = play(plan, with_it=True)
+    plan = replace(
+        draw(3, ("drain", "register-old")),
+        zone_delays=(0.0, 1.0, 2.0),
+        discovery_delay=1.5,
+        measured_after=6.0,
+    )
+    figures, told = play(plan, with_recovery=True)
     assert not any(figures[name] for name in NONE), told
     assert figures["answered_once"] > 100
     assert any("restart judged: the whole fleet" in line for line in told)
@@ -27,4 +32,4 @@
     plan = draw(seed)
     assert plan == draw(seed) and plan.faults <= set(FAULTS)
     assert {"never", "drain"} <= plan.faults and len(plan.faults) == 5
-    assert plan.all <= 14.0
+    assert plan.last_return <= 14.0
--- a/tests/processes/test_rare_moments.py
+++ b/tests/processes/test_rare_moments.py
@@ -11,11 +11,11 @@
 from cases import Case
 
 from hopshed.interface import Role
-from yewlab.processes.clients import Way
-from yewlab.processes.host import Process
-from yewlab.processes.operate import Waits
-from yewlab.processes.register import Face
-from yewlab.processes.stage import OFFSET, TOLD_WITHIN
+from yewlab.processes.clients import Route
+from yewlab.processes.discovery import DiscoveryEndpoint
+from yewlab.processes.instances import Process
+from yewlab.processes.operate import Script
+from yewlab.processes.testbed import NOTIFIED_WITHIN_S, UNIX_OFFSET_S
 
 
 @pytest.fixture
@@ -23,53 +23,53 @@
     routers, rate, *more = request.param
     played = Case(tmp_path, routers, rate, **dict(more))
     yield played
-    played.stage.close()
+    played.test_bed.close()
 
 
-def in_flight(way: Way) -> bool:
-    return any(side.exchange is not None for side in way.sides)
+def in_flight(route: Route) -> bool:
+    return any(side.handler is not None for side in route.connections)
 
 
 def ended(process: Process) -> bool:
     return not process.running
 
 
-def healthy(way: Way) -> bool:
-    return way.healthy
+def healthy(route: Route) -> bool:
+    return route.healthy
 
 
 @pytest.mark.parametrize("case", [(3, 15.0)], indirect=True)
 def test_a_rolling_restart_loses_nothing_that_was_in_flight(case: Case) -> None:
-    def script() -> Waits:
-        for instance, way in zip(case.stage.instances, case.stage.clients.ways, strict=True):
-            old = instance.serving
-            yield partial(in_flight, way)
-            instance.end(old)
+    def script() -> Script:
+        for instance, route in zip(case.test_bed.instances, case.test_bed.clients.routes, strict=True):
+            old = instance.serving_process
+            yield partial(in_flight, route)
+            instance.terminate(old)
             yield partial(ended, old)
             assert not old.killed and old.popen.returncode == 0
-            new = instance.start()
-            yield from case.operators.yes(instance, new)
-            assert new.yes_at is not None and new.yes_at - new.started < 10.0
-            yield partial(healthy, way)
+            new = instance.start_process()
+            yield from case.operators.wait_ready(instance, new)
+            assert new.ready_at is not None and new.ready_at - new.started_at < 10.0
+            yield partial(healthy, route)
 
     case.play(script)
 
 
 @pytest.mark.parametrize("case", [(4, 20.0)], indirect=True)
-@pytest.mark.parametrize("ending", [Face.forget_watches, Face.lose_watches])
+@pytest.mark.parametrize("ending", [DiscoveryEndpoint.silence_watches, DiscoveryEndpoint.abort_watches])
 def test_workers_that_drain_as_all_watches_end_get_nothing_new(
-    case: Case, ending: Callable[[Face], None]
+    case: Case, ending: Callable[[DiscoveryEndpoint], None]
 ) -> None:
-    def script() -> Waits:
-        for face in case.stage.register.faces:
+    def script() -> Script:
+        for face in case.test_bed.discovery.endpoints:
             ending(face)
-        case.stage.change("w0", lifecycle="draining")  # a reader, and then a writer
+        case.test_bed.change_entry("w0", lifecycle="draining")  # a reader, and then a writer
         yield 0.5
-        case.stage.change("w3", lifecycle="draining")
-        yield TOLD_WITHIN + 2.5
-        asked = [case.stage.workers.boxes[name].asked for name in ("w0", "w3")]
+        case.test_bed.change_entry("w3", lifecycle="draining")
+        yield NOTIFIED_WITHIN_S + 2.5
+        asked = [case.test_bed.workers.by_name[name].attempts_received for name in ("w0", "w3")]
         yield 2.0
-        assert asked == [case.stage.workers.boxes[name].asked for name in ("w0", "w3")]
+        assert asked == [case.test_bed.workers.by_name[name].attempts_received for name in ("w0", "w3")]
 
     case.play(script)
 
@@ -77,13 +77,13 @@
 # With a budget this small, servers that are sent their whole part while they are cold fall at once.
 @pytest.mark.parametrize("case", [(20, 30.0, ("fall_multiple", 0.5))], indirect=True)
 def test_twenty_routers_together_stay_within_what_cold_servers_bear(case: Case) -> None:
-    def script() -> Waits:
+    def script() -> Script:
         for name in ("w1", "w4", "w6"):  # a reader, a writer and a mixed one come back cold
-            worker = case.stage.workers.boxes[name]
-            worker.die()
-            worker.cool()
-            started = round((worker.server.started + OFFSET) * 1000.0)
-            case.stage.change(name, lifecycle="up", startedAtMs=started)
+            worker = case.test_bed.workers.by_name[name]
+            worker.restart()
+            worker.begin_slow_start()
+            started = round((worker.server.started + UNIX_OFFSET_S) * 1000.0)
+            case.test_bed.change_entry(name, lifecycle="up", startedAtMs=started)
             yield 3.0
         yield 3.0
 
@@ -94,21 +94,23 @@
 MANY_WRITERS = (Role.READER,) * 3 + (Role.WRITER,) * 6
 
 
-@pytest.mark.parametrize("case", [(3, 12.0, ("fleet", MANY_WRITERS))], indirect=True)
+@pytest.mark.parametrize("case", [(3, 12.0, ("roles", MANY_WRITERS))], indirect=True)
 def test_most_writers_cut_off_together_three_times_leave_no_state_held(case: Case) -> None:
     # The stage's rules look at each held state four times a second, over all routers.
-    links = [link for (_, name), link in case.stage.links.items() if name in ("w4", "w5", "w6", "w7", "w8")]
+    links = [
+        link for (_, name), link in case.test_bed.links.items() if name in ("w4", "w5", "w6", "w7", "w8")
+    ]
     assert len(links) == 15
 
-    def script() -> Waits:
+    def script() -> Script:
         for _ in range(3):
             for link in links:
-                link.cut_off()
+                link.isolate()
             yield 3.0
             for link in links:
                 link.reconnect()
             yield 2.0
 
     case.play(script)
-    logs = [process for instance in case.stage.instances for process in instance.processes]
-    assert not any(process.said("release late") for process in logs)
+    logs = [process for instance in case.test_bed.instances for process in instance.processes]
+    assert not any(process.count_log_lines("release late") for process in logs)
--- a/tests/processes/test_silence.py
+++ b/tests/processes/test_silence.py
@@ -9,7 +9,7 @@
 from cases import Case
 
 from hopshed.interface import Role
-from yewlab.processes.operate import Waits
+from yewlab.processes.operate import Script
 
 READERS = (Role.READER,) * 4
 WRITERS = (Role.WRITER,) * 6
@@ -24,35 +24,35 @@
     let_go_ms, entries = request.param
     played = Case(tmp_path, 3, RATE, READERS + WRITERS, let_go_ms=let_go_ms, entries=entries)
     yield played
-    played.stage.close()
+    played.test_bed.close()
 
 
-def hang(case: Case, names: list[str]) -> Waits:
+def hang(case: Case, names: list[str]) -> Script:
     """These servers hang together, several times."""
     for _ in range(TIMES):
-        case.stage.hang(names)
+        case.test_bed.hang_workers(names)
         yield SILENT_FOR
-        case.stage.wake(names)
+        case.test_bed.resume_workers(names)
         yield BETWEEN
 
 
-def lose_answers(case: Case, names: list[str], until_given_up: bool = False) -> Waits:
+def lose_answers(case: Case, names: list[str], until_given_up: bool = False) -> Script:
     """What these servers write is lost, several times; they take all that is asked of them.
 
     `until_given_up` = a read there counts as out until its router gives it up, not until it has ended.
     """
-    links = case.stage.links_to(names)
+    links = case.test_bed.links_to(names)
     for _ in range(TIMES):
         for link in links:
-            link.ways.back = False
+            link.state.backward = False
         for name in names:
-            case.stage.workers.boxes[name].unheard = until_given_up
+            case.test_bed.workers.by_name[name].answers_lost = until_given_up
         yield SILENT_FOR
         for link in links:
-            link.ways.back = True
-            link.reset()
+            link.state.backward = True
+            link.reset_connections()
         for name in names:
-            case.stage.workers.boxes[name].unheard = False
+            case.test_bed.workers.by_name[name].answers_lost = False
         yield BETWEEN
 
 
@@ -65,7 +65,7 @@
 def test_states_for_writers_that_hang_are_let_go_in_time(case: Case) -> None:
     # Most of them went to a kept connection of a silent writer, and were held until that attempt's time-out.
     case.play(lambda: hang(case, ["w4", "w5", "w6", "w7", "w8"]))
-    turns = [process.longest_turn for instance in case.stage.instances for process in instance.processes]
+    turns = [process.longest_turn_s for instance in case.test_bed.instances for process in instance.processes]
     assert max(turns) < LONGEST_TURN
 
 
--- a/yewhook/commands/lab.py
+++ b/yewhook/commands/lab.py
@@ -125,7 +125,7 @@
     from yewlab.processes.operate import experiment
 
     result = experiment(seed, acts=acts)
-    for line in [*result.story, *result.broken[:20]]:
+    for line in [*result.timeline, *result.broken[:20]]:
         typer.echo(line, err=as_json)
     typer.echo(json.dumps(result.figures))
     raise typer.Exit(0 if result.holds else 1)
@@ -146,7 +146,7 @@
         holds = holds and result.holds
         typer.echo(
             f"seed {seed}: {result.requests} requests, {result.served} served, "
-            f"{result.unanswered} unanswered, {len(result.broken)} rules broken: {', '.join(result.story)}"
+            f"{result.unanswered} unanswered, {len(result.broken)} rules broken: {', '.join(result.timeline)}"
         )
         for what in result.broken[:10]:
             typer.echo(f"    {what}")
@@ -166,7 +166,7 @@
     if unknown := [name for name in fault or [] if name not in FAULTS]:
         raise typer.BadParameter(f"{unknown[0]!r}: expected one of {', '.join(FAULTS)}", param_hint="--fault")
     result = experiment(seed, tuple(fault or ()), lambda line: typer.echo(line, err=as_json))
-    for line in result.told[:200]:
+    for line in result.log_lines[:200]:
         typer.echo(line, err=as_json)
     typer.echo(json.dumps(result.figures))
     raise typer.Exit(0 if result.holds else 1)
--- a/yewlab/processes/agent.py
+++ b/yewlab/processes/agent.py
@@ -1,4 +1,4 @@
-"""An agent's process with its routers on a stage, and the one who asks it."""
+"""An agent's process with its routers on a test_bed, and the one who asks it."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 
 from yewhook.jsonrpc import Id, Peer, PeerHandler, RpcError
 
-from .host import ROOT, free_address
-from .net import HOST
-from .operate import Waits
-from .stage import Stage
+from .http_connections import HOST
+from .instances import ROOT, free_address
+from .operate import Script
+from .testbed import ProcessTestBed
 
-END_MOST = 20.0  # s for an agent told to end
-PATIENCE = 15.0  # s for an answer
-FLEET = (
+STOP_TIMEOUT_S = 20.0  # s for an agent told to end
+ANSWER_TIMEOUT_S = 15.0  # s for an answer
+FLEET_FILE_HEAD = (
     '[agent]\nlisten = "{place}"\nrecords = "routers.zone"\n'
     'domain = "demo.example."\nservice = "_yewhook._tcp"\n'
 )
 
 
-class AgentSide(PeerHandler):
-    """Writes the fleet file for a stage's instances, runs the agent, and asks it."""
+class AgentProcess(PeerHandler):
+    """Writes the fleet file for a test_bed's instances, runs the agent, and asks it."""
 
     def __init__(
         self,
-        stage: Stage,
+        test_bed: ProcessTestBed,
         folder: Path,
         agent: str = "",
         settings: Callable[[int], str] | None = None,
     ) -> None:
         """`agent` = further lines for its table; `settings` makes an instance's operators' file."""
-        self.loop, self._folder = stage.loop, folder
-        self.place = free_address()
-        text = FLEET.format(place=f"{HOST}:{self.place[1]}") + agent
-        for instance in stage.instances:
-            instance.let_go()  # the agent holds the clients' sockets here
+        self.loop, self._folder = test_bed.loop, folder
+        self.address = free_address()
+        text = FLEET_FILE_HEAD.format(place=f"{HOST}:{self.address[1]}") + agent
+        for instance in test_bed.instances:
+            instance.close_listener()  # the agent holds the clients' sockets here
             listen = f"{instance.address[0]}:{instance.address[1]}"
             name = f"n{instance.number}"
             own = {"listen": listen, "seed": f"{instance.number + 1:x}"}
@@ -67,15 +67,15 @@
         return self.process.poll() is None
 
     @property
-    def said(self) -> list[str]:
+    def log_lines(self) -> list[str]:
         """The lines of its log and of its routers'."""
         return (self._folder / "log").read_text(errors="replace").splitlines()
 
     # ---- asking ----
 
-    def ask(self, method: str, heard: Callable[[Any, RpcError | None], None], **params: Any) -> None:
+    def call(self, method: str, heard: Callable[[Any, RpcError | None], None], **params: Any) -> None:
         try:
-            peer = Peer.connect(self.loop, self.place, self, 1.0)
+            peer = Peer.connect(self.loop, self.address, self, 1.0)
         except OSError as error:
             heard(None, RpcError(0, str(error)))
             return
@@ -84,19 +84,19 @@
             peer.close()
             heard(result, error)
 
-        peer.ask(method, params, done, PATIENCE)
+        peer.ask(method, params, done, ANSWER_TIMEOUT_S)
 
-    def order(self, what: str, name: str, by: str, failed: Callable[[str], None]) -> Waits:
+    def send_order(self, what: str, name: str, by: str, failed: Callable[[str], None]) -> Script:
         heard: list[RpcError | None] = []
-        self.ask(f"agent/{what}", lambda _, error: heard.append(error), name=name, by=by)
+        self.call(f"agent/{what}", lambda _, error: heard.append(error), name=name, by=by)
         yield lambda: bool(heard)
         if heard[0] is not None:
             failed(f"{what} {name}: {heard[0].message}")
 
-    def status(self, then: Callable[[list[dict[str, Any]]], None]) -> Waits:
+    def status(self, then: Callable[[list[dict[str, Any]]], None]) -> Script:
         """Ask once how its instances stand; nothing is told where it does not answer."""
         heard: list[Any] = []
-        self.ask("agent/status", lambda result, error: heard.append(result))
+        self.call("agent/status", lambda result, error: heard.append(result))
         yield lambda: bool(heard)
         if heard[0]:
             then(heard[0]["instances"])
@@ -115,7 +115,7 @@
 
     # ---- power ----
 
-    def cut_power(self, routers: list[int]) -> None:
+    def kill_all(self, routers: list[int]) -> None:
         """The agent and its routers are gone at once, whose ids it has told."""
         if self.running:
             self.process.kill()
@@ -124,7 +124,7 @@
                 os.kill(pid, signal.SIGKILL)
         self.process.wait()
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         self.process = self._spawn()
 
     def close(self) -> None:
@@ -132,7 +132,7 @@
         if self.running:
             self.process.send_signal(signal.SIGTERM)
             try:
-                self.process.wait(timeout=END_MOST)
+                self.process.wait(timeout=STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 self.process.kill()
                 self.process.wait()
--- a/yewlab/processes/clients.py
+++ b/yewlab/processes/clients.py
@@ -11,32 +11,35 @@
 from yewlab.rules import Rules
 from yewlab.workload import Traffic
 
-from .host import Bounded, Instance
-from .net import ClientSide
-
-ASK_EVERY, STILL_SENDS = 0.1, 0.2  # s between the front's questions; s for which it sends on after a no
-REPEATS, AGAIN = 2, 0.3  # further tries of a client; s until one where no advice was given
-PROMPT = (300.0, 1500.0)  # tokens: at the usual rate readers are busy for some six tenths of the time
+from .http_connections import ClientConnection
+from .instances import Instance, TimedCall
+
+HEALTH_POLL_S, UNHEALTHY_GRACE_S = (
+    0.1,
+    0.2,
+)  # s between the front's questions; s for which it sends on after a no
+MAX_RETRIES, RETRY_DELAY_S = 2, 0.3  # further tries of a client; s until one where no advice was given
+PROMPT_TOKENS = (300.0, 1500.0)  # tokens: at the usual rate readers are busy for some six tenths of the time
 # s after a refusal at which a worker has seen what was given up before it: two connections keep no order.
-SETTLES = 0.1
-KILL_SHOWS = 1.0  # s after a process was killed in which its connections are found broken
+REFUSAL_SETTLE_S = 0.1
+KILL_DETECTION_S = 1.0  # s after a process was killed in which its connections are found broken
 
 
 @dataclass(eq=False, slots=True)
-class Way:
+class Route:
     """One instance as the front and its clients see it."""
 
     instance: Instance
     healthy: bool = False
-    no_since: float = -1e9
+    unhealthy_since: float = -1e9
     killed_at: float = -1e9  # the last time that one of its processes was killed outright
-    sides: list[ClientSide] = field(default_factory=list)
-    taken: int = 0  # requests that were sent there
-    last_taken: float = -1e9
-    last_answered: float = -1e9
+    connections: list[ClientConnection] = field(default_factory=list)
+    requests_sent: int = 0  # requests that were sent there
+    last_sent_at: float = -1e9
+    last_answered_at: float = -1e9
 
-    def open_to(self, now: float) -> bool:
-        return self.healthy or now - self.no_since < STILL_SENDS
+    def accepts_at(self, now: float) -> bool:
+        return self.healthy or now - self.unhealthy_since < UNHEALTHY_GRACE_S
 
 
 @dataclass(slots=True)
@@ -47,10 +50,10 @@
     served: int = 0
     refused: int = 0
     failed: int = 0
-    broken: int = 0  # streams that ended before they were whole
+    broken_streams: int = 0  # streams that ended before they were whole
     lost_with_process: int = 0  # their process was killed outright
-    unread: int = 0  # on new connections that were refused, reset or ended with no answer
-    untried: int = 0  # no instance was open to new connections
+    unanswered_on_new: int = 0  # on new connections that were refused, reset or ended with no answer
+    no_route: int = 0  # no instance was open to new connections
     # By class, of turns and not of tries: worth asked for, answered, and answered within its aim
     asked: dict[str, float] = field(default_factory=dict)
     answered: dict[str, float] = field(default_factory=dict)
@@ -60,7 +63,7 @@
 
     @property
     def answered_once(self) -> int:
-        return self.served + self.refused + self.failed + self.broken
+        return self.served + self.refused + self.failed + self.broken_streams
 
 
 class Clients:
@@ -79,61 +82,63 @@
     ) -> None:
         self.loop, self.rules, self.settings, self.random = loop, rules, settings, random
         self.lanes, self.tenants = lanes, tenants
-        self.ways = [Way(instance) for instance in instances]
-        self.tally, self.open = Tally(), 0
-        self.rate, self._serial, self.stopped = rate, 0, False
+        self.routes = [Route(instance) for instance in instances]
+        self.tally, self.open_requests = Tally(), 0
+        self.turns_per_s, self._serial, self.stopped = rate, 0, False
         self.paused = False  # nobody comes for now
-        self.only: str | None = None  # the one lane in which clients ask
-        for way in self.ways:
-            self._ask(way)
+        self.only_lane: str | None = None  # the one lane in which clients ask
+        for route in self.routes:
+            self._poll_health(route)
 
     # ---- the front ----
 
-    def _ask(self, way: Way) -> None:
+    def _poll_health(self, route: Route) -> None:
         def heard(status: int) -> None:
-            if way.healthy and status != 200:
-                way.no_since = self.loop.now
-            way.healthy = status == 200
+            if route.healthy and status != 200:
+                route.unhealthy_since = self.loop.now
+            route.healthy = status == 200
 
-        Bounded(self.loop, way.instance.address, "GET", "/healthz", heard)
-        self.loop.after(ASK_EVERY, lambda: self._ask(way))
+        TimedCall(self.loop, route.instance.address, "GET", "/healthz", heard)
+        self.loop.after(HEALTH_POLL_S, lambda: self._poll_health(route))
 
-    def choose(self) -> Way | None:
-        ways = [way for way in self.ways if way.open_to(self.loop.now)]
-        return self.random.choice(ways) if ways else None
+    def choose_route(self) -> Route | None:
+        routes = [route for route in self.routes if route.accepts_at(self.loop.now)]
+        return self.random.choice(routes) if routes else None
 
     # ---- arrivals ----
 
-    def begin(self) -> None:
-        self._arrive()
+    def start(self) -> None:
+        self._next_arrival()
 
-    def _arrive(self) -> None:
+    def _next_arrival(self) -> None:
         if self.stopped:
             return
         if not self.paused:
-            self.ask()
-        self.loop.after(self.random.expovariate(self.rate), self._arrive)
+            self.start_turn()
+        self.loop.after(self.random.expovariate(self.turns_per_s), self._next_arrival)
 
-    def ask(self) -> None:
+    def start_turn(self) -> None:
         """One client's turn."""
         lane = self.random.choices(list(self.lanes), [t.part for t in self.lanes.values()])[0]
-        lane = self.only or lane
+        lane = self.only_lane or lane
         self._serial += 1
         session = f"s{self._serial // 3}"  # three turns in a row are of one session
-        turn = Turn(self, lane, session, self.random.choice(self.tenants), self.random.uniform(*PROMPT))
-        turn.come()
+        turn = Turn(
+            self, lane, session, self.random.choice(self.tenants), self.random.uniform(*PROMPT_TOKENS)
+        )
+        turn.start()
 
     def class_of(self, lane: str) -> RequestClass:
         return self.settings.classes[list(self.lanes).index(lane)]
 
-    def next_id(self) -> str:
+    def new_request_id(self) -> str:
         self._serial += 1
         return f"{self.random.getrandbits(48):012x}{self._serial:04x}"
 
     def close(self) -> None:
-        for way in self.ways:
-            for side in way.sides:
-                side.close()
+        for route in self.routes:
+            for connection in route.connections:
+                connection.close()
 
 
 @dataclass(eq=False)
@@ -149,120 +154,120 @@
     cls: RequestClass = field(init=False)
     tally: Tally = field(init=False)  # of the time in which it came
     id: str = ""
-    began: float = 0.0
+    sent_at: float = 0.0
     status: int = 0
-    events: bool = False
-    advice: float = 0.0
-    came: float = 0.0  # its first try
-    first_at: float = 0.0  # first event of this try's answer
-    again: bool = False  # once more on a new connection, for the kept one was being closed
+    streaming: bool = False
+    retry_after_s: float = 0.0
+    started_at: float = 0.0  # its first try
+    first_event_at: float = 0.0  # first event of this try's answer
+    resent: bool = False  # once more on a new connection, for the kept one was being closed
 
-    def come(self) -> None:
+    def start(self) -> None:
         """The first try; its worth is asked for now, whatever becomes of it."""
         clients = self.clients
-        self.came, self.tally, self.cls = clients.loop.now, clients.tally, clients.class_of(self.lane)
+        self.started_at, self.tally, self.cls = clients.loop.now, clients.tally, clients.class_of(self.lane)
         asked = self.tally.asked
         asked[self.lane] = asked.get(self.lane, 0.0) + self.cls.worth
-        self.tally.seconds.setdefault((int(self.came), self.lane), [0.0, 0.0])[0] += self.cls.worth
-        self.send()
+        self.tally.seconds.setdefault((int(self.started_at), self.lane), [0.0, 0.0])[0] += self.cls.worth
+        self.send_try()
 
-    def _served(self) -> None:
+    def _count_served(self) -> None:
         tally, cls = self.tally, self.cls
-        in_time = self.first_at - self.came <= cls.aim_of(self.prompt)
+        in_time = self.first_event_at - self.started_at <= cls.aim_of(self.prompt)
         worth = cls.worth if in_time else cls.late_worth
         for book in [tally.answered, tally.in_time] if in_time else [tally.answered]:
             book[self.lane] = book.get(self.lane, 0.0) + worth
-        tally.seconds[int(self.came), self.lane][1] += worth
+        tally.seconds[int(self.started_at), self.lane][1] += worth
 
-    def send(self) -> None:
+    def send_try(self) -> None:
         clients = self.clients
-        way = clients.choose()
+        route = clients.choose_route()
         self.tries += 1
-        if way is None:
-            self.tally.untried += 1
-            return self._again(AGAIN)
-        self.id, self.again = clients.next_id(), False
+        if route is None:
+            self.tally.no_route += 1
+            return self._retry(RETRY_DELAY_S)
+        self.id, self.resent = clients.new_request_id(), False
         self.tally.requests += 1
-        way.taken, way.last_taken = way.taken + 1, clients.loop.now
-        clients.open += 1
-        self.began = clients.loop.now
+        route.requests_sent, route.last_sent_at = route.requests_sent + 1, clients.loop.now
+        clients.open_requests += 1
+        self.sent_at = clients.loop.now
         self.patience = self.cls.patience * clients.random.uniform(0.5, 1.0)
-        clients.rules.came(self.id, self.cls.effect, self.began + self.patience, self.began)
-        self._ask(way, clients.random.random() < 0.7)
+        clients.rules.came(self.id, self.cls.effect, self.sent_at + self.patience, self.sent_at)
+        self._send_on(route, clients.random.random() < 0.7)
         return None
 
-    def _ask(self, way: Way, kept: bool) -> None:
+    def _send_on(self, route: Route, kept: bool) -> None:
         """On a kept connection where there is one, and clients mostly use those, else on a new one."""
-        clients, self.way, self.status, self.events = self.clients, way, 0, False
-        way.sides = [side for side in way.sides if not side.channel.closed]
-        usable = [side for side in way.sides if side.usable] if kept else []
+        clients, self.route, self.status, self.streaming = self.clients, route, 0, False
+        route.connections = [connection for connection in route.connections if not connection.channel.closed]
+        usable = [connection for connection in route.connections if connection.usable] if kept else []
         try:
-            self.side = usable[-1] if usable else ClientSide(clients.loop, way.instance.address)
+            self.connection = usable[-1] if usable else ClientConnection(clients.loop, route.instance.address)
         except OSError as error:
-            return self._lost(error, new=True)
+            return self._handle_loss(error, new=True)
         if not usable:
-            way.sides.append(self.side)
+            route.connections.append(self.connection)
         body = b'{"stream":true}'
-        left = self.began + self.patience - clients.loop.now
+        left = self.sent_at + self.patience - clients.loop.now
         fields = {
             "Host": "app.svc", "X-Txn": self.id, "X-Lane": self.lane, "X-Org": self.tenant,
             "X-Entity": self.session, "X-Remaining": f"{left * 1000:.3f}m",
             "X-Labels": f"prompt_len={self.prompt:.0f},max_out=400", "Content-Length": str(len(body)),
         }  # fmt: skip
-        self.side.ask(self, http.head("POST /v1/chat/completions HTTP/1.1", fields) + body)
+        self.connection.send_request(self, http.head("POST /v1/chat/completions HTTP/1.1", fields) + body)
         return None
 
     # ---- what comes back ----
 
-    def begun(self, status: int, headers: dict[str, str]) -> None:
-        self.status, self.advice = status, float(headers.get("retry-after", 0.0))
+    def headers_received(self, status: int, headers: dict[str, str]) -> None:
+        self.status, self.retry_after_s = status, float(headers.get("retry-after", 0.0))
 
-    def data(self, data: bytes) -> None:
-        if self.status == 200 and not self.events:
-            self.events, self.first_at = True, self.clients.loop.now
+    def body_received(self, data: bytes) -> None:
+        if self.status == 200 and not self.streaming:
+            self.streaming, self.first_event_at = True, self.clients.loop.now
             self.clients.rules.began(self.id, self.clients.loop.now)
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         refused = self.status in (429, 503)
         tally = self.tally
         if self.status == 200:
             tally.served += 1
-            self._served()
+            self._count_served()
         elif refused:
             tally.refused += 1
         else:
             tally.failed += 1
-        self._answered(refused)
+        self._count_answered(refused)
         if refused:
-            self._again(self.advice or AGAIN)
+            self._retry(self.retry_after_s or RETRY_DELAY_S)
 
-    def _answered(self, refused: bool) -> None:
+    def _count_answered(self, refused: bool) -> None:
         clients, request = self.clients, self.id
-        clients.open -= 1
-        self.way.last_answered = clients.loop.now
+        clients.open_requests -= 1
+        self.route.last_answered_at = clients.loop.now
         clients.rules.answered(request, False, clients.loop.now)
         if refused:
-            clients.loop.after(SETTLES, lambda: clients.rules.refused(request, clients.loop.now))
+            clients.loop.after(REFUSAL_SETTLE_S, lambda: clients.rules.refused(request, clients.loop.now))
 
-    def lost(self, error: OSError | None) -> None:
-        self._lost(error, new=self.side.used == 1)
+    def connection_lost(self, error: OSError | None) -> None:
+        self._handle_loss(error, new=self.connection.request_count == 1)
 
-    def _lost(self, error: OSError | None, new: bool) -> None:
+    def _handle_loss(self, error: OSError | None, new: bool) -> None:
         clients = self.clients
-        if clients.loop.now - self.way.killed_at < KILL_SHOWS:
+        if clients.loop.now - self.route.killed_at < KILL_DETECTION_S:
             self.tally.lost_with_process += 1
-            clients.open -= 1
+            clients.open_requests -= 1
             return clients.rules.lost(self.id)
         if self.status == 200:  # broken off: an answer like any other, and its client goes on elsewhere
-            self.tally.broken += 1
-            return self._answered(False)
-        if new or self.again:
-            self.tally.unread += 1
-            clients.open -= 1
+            self.tally.broken_streams += 1
+            return self._count_answered(False)
+        if new or self.resent:
+            self.tally.unanswered_on_new += 1
+            clients.open_requests -= 1
             return clients.rules.lost(self.id)
-        self.again = True
-        return self._ask(self.way, kept=False)
+        self.resent = True
+        return self._send_on(self.route, kept=False)
 
-    def _again(self, after: float) -> None:
-        if self.tries <= REPEATS and not self.clients.stopped:
-            self.clients.loop.after(after, self.send)
+    def _retry(self, after: float) -> None:
+        if self.tries <= MAX_RETRIES and not self.clients.stopped:
+            self.clients.loop.after(after, self.send_try)
--- a/yewlab/processes/demo.py
+++ b/yewlab/processes/demo.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 from typing import Any
 
-from .agent import AgentSide
-from .operate import Play, Waits
-from .stage import Stage
+from .agent import AgentProcess
+from .operate import Script, ScriptRunner
+from .testbed import ProcessTestBed
 
-ROUTERS, RATE = 3, 12.0  # and turns a second
-START_MOST, END_MOST = 20.0, 20.0  # s
+ROUTERS, TURNS_PER_S = 3, 12.0  # and turns a second
+START_TIMEOUT_S, FINISH_WITHIN_S = 20.0, 20.0  # s
 ORDERS = ((0.25, "drain", "n1"), (0.5, "resume", "n1"), (0.7, "upgrade", "n2"))  # at which part of the time
 
 
@@ -21,24 +21,24 @@
     """What is done, and what is shown of it."""
 
     def __init__(self, folder: Path, say: Callable[[str], None]) -> None:
-        self.stage, self._say = Stage(folder, ROUTERS, seed=1, rate=RATE), say
-        self.loop = self.stage.loop
+        self.test_bed, self._say = ProcessTestBed(folder, ROUTERS, seed=1, rate=TURNS_PER_S), say
+        self.loop = self.test_bed.loop
         self._status: list[dict[str, Any]] = []
-        self._failed: list[str] = []
-        self.agent = AgentSide(self.stage, folder)
+        self._failures: list[str] = []
+        self.agent = AgentProcess(self.test_bed, folder)
 
-    def _order(self, what: str, name: str) -> Waits:
+    def _send_order(self, what: str, name: str) -> Script:
         def failed(why: str) -> None:
-            self._failed.append(why)
+            self._failures.append(why)
             self._say(f"-- {why}")
 
         self._say(f"-- {what} {name}")
-        yield from self.agent.order(what, name, "the demo", failed)
+        yield from self.agent.send_order(what, name, "the demo", failed)
 
-    def _look(self) -> Waits:
+    def _show_status(self) -> Script:
         while True:
-            yield from self.agent.status(self._heard)
-            tally = self.stage.clients.tally
+            yield from self.agent.status(self._keep_status)
+            tally = self.test_bed.clients.tally
             states = " ".join(f"{one['name']} {one['state']}" for one in self._status) or "the agent starts"
             fronts = [told for one in self._status for told in (one["levels"] or {}).values()]
             levels = {told["level"] for told in fronts if told}
@@ -49,43 +49,43 @@
             )
             yield 1.0
 
-    def _heard(self, status: list[dict[str, Any]]) -> None:
+    def _keep_status(self, status: list[dict[str, Any]]) -> None:
         self._status = status
 
-    def _script(self, seconds: float) -> Waits:
-        clients = self.stage.clients
-        end = self.loop.now + START_MOST
-        yield lambda: all(way.healthy for way in clients.ways) or self.loop.now > end
-        clients.begin()
+    def _script(self, seconds: float) -> Script:
+        clients = self.test_bed.clients
+        end = self.loop.now + START_TIMEOUT_S
+        yield lambda: all(route.healthy for route in clients.routes) or self.loop.now > end
+        clients.start()
         at = self.loop.now
         for part, what, name in ORDERS:
             yield max(0.0, at + part * seconds - self.loop.now)
-            yield from self._order(what, name)
+            yield from self._send_order(what, name)
         yield max(0.0, at + seconds - self.loop.now)
         clients.stopped = True
-        end = self.loop.now + END_MOST
-        yield lambda: not clients.open or self.loop.now > end
+        end = self.loop.now + FINISH_WITHIN_S
+        yield lambda: not clients.open_requests or self.loop.now > end
 
     def run(self, seconds: float) -> bool:
         """Whether every request got its one answer, and all went as ordered."""
-        show, play = Play(self.loop), Play(self.loop)
-        show.start(self._look())
-        play.start(self._script(seconds))
-        while play.running and self.agent.running:
-            self.stage.run(self.loop.now + 0.1)
-        tally, broken = self.stage.clients.tally, self.stage.rules.broken
+        show, runner = ScriptRunner(self.loop), ScriptRunner(self.loop)
+        show.start(self._show_status())
+        runner.start(self._script(seconds))
+        while runner.running and self.agent.running:
+            self.test_bed.run(self.loop.now + 0.1)
+        tally, broken = self.test_bed.clients.tally, self.test_bed.rules.broken
         self._say(
             f"{tally.requests} requests, each answered once: {tally.served} served, {tally.refused} refused, "
-            f"{tally.failed} failed, {tally.broken} broken off to go on elsewhere; "
+            f"{tally.failed} failed, {tally.broken_streams} broken off to go on elsewhere; "
             f"{tally.requests - tally.answered_once} without an answer, {len(broken)} rules broken"
         )
-        for what in [*broken[:5], *self._failed]:
+        for what in [*broken[:5], *self._failures]:
             self._say(f"   {what}")
-        return tally.requests == tally.answered_once > 0 and not broken and not self._failed
+        return tally.requests == tally.answered_once > 0 and not broken and not self._failures
 
     def close(self) -> None:
         self.agent.close()
-        self.stage.close()
+        self.test_bed.close()
 
 
 def show(seconds: float, say: Callable[[str], None]) -> bool:
--- a/yewlab/processes/net.py
+++ b/yewlab/processes/http_connections.py
@@ -24,7 +24,7 @@
 HOST = f"127.{64 + (_PID >> 16) % 64}.{(_PID >> 8) % 256}.{_PID % 256}"
 
 
-class RealTime:
+class LoopClock:
     """The loop's clock, for models that otherwise run on virtual time."""
 
     def __init__(self, loop: Loop) -> None:
@@ -41,8 +41,8 @@
         self._loop.deadlines.cancel(deadline)
 
 
-BACKLOG = 512  # connections that the kernel keeps until they are accepted
-QUEUE_FILLERS = 3  # connections that fill a queue of length 0
+ACCEPT_BACKLOG = 512  # connections that the kernel keeps until they are accepted
+QUEUE_FILLER_COUNT = 3  # connections that fill a queue of length 0
 
 
 class Listener:
@@ -51,9 +51,9 @@
     def __init__(
         self, loop: Loop, accepted: Callable[[socket.socket], object], address: Address = (HOST, 0)
     ) -> None:
-        self._loop, self._accepted = loop, accepted
+        self._loop, self._on_accepted = loop, accepted
         self._fillers: list[socket.socket] = []  # connections that take up the kernel's queue
-        self._sock = socket.create_server(address, backlog=BACKLOG)
+        self._sock = socket.create_server(address, backlog=ACCEPT_BACKLOG)
         self._sock.setblocking(False)
         self.address: Address = self._sock.getsockname()
         loop.watch(self._sock, selectors.EVENT_READ, self._accept)
@@ -64,13 +64,13 @@
                 sock, _ = self._sock.accept()
             except OSError:
                 return
-            self._accepted(sock)
+            self._on_accepted(sock)
 
     def block(self) -> None:
         """Let no connection come up any more, as where the machine is cut off: the kernel's queue is full."""
         self._loop.watch(self._sock, 0, self._accept)
         self._sock.listen(0)
-        for _ in range(QUEUE_FILLERS):
+        for _ in range(QUEUE_FILLER_COUNT):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(self.address)
@@ -78,17 +78,17 @@
 
     def unblock(self) -> None:
         """Accept again; those that have come meanwhile come up when they next try."""
-        self._sock.listen(BACKLOG)
+        self._sock.listen(ACCEPT_BACKLOG)
         for filler in self._fillers:
             filler.close()
         self._fillers.clear()
         self._loop.watch(self._sock, selectors.EVENT_READ, self._accept)
 
-    def ignore(self) -> None:
+    def pause_accepting(self) -> None:
         """Accept nothing; connections come up all the same, in the kernel's queue."""
         self._loop.watch(self._sock, 0, self._accept)
 
-    def heed(self) -> None:
+    def resume_accepting(self) -> None:
         """Accept again what has come meanwhile."""
         self._loop.watch(self._sock, selectors.EVENT_READ, self._accept)
 
@@ -99,7 +99,7 @@
         self._sock.close()
 
 
-def reset(sock: socket.socket, channel: Channel) -> None:
+def reset_connection(sock: socket.socket, channel: Channel) -> None:
     """End a connection by a reset."""
     if not channel.closed:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -114,17 +114,17 @@
     body: bytes = b""
 
 
-class ServerSide:
+class ServerConnection:
     """One accepted connection; one request at a time."""
 
     def __init__(
         self,
         loop: Loop,
         sock: socket.socket,
-        asked: Callable[[ServerSide, Request], None],
-        gone: Callable[[ServerSide], None],
+        asked: Callable[[ServerConnection, Request], None],
+        gone: Callable[[ServerConnection], None],
     ) -> None:
-        self._asked, self._gone, self._sock = asked, gone, sock
+        self._on_request, self._on_closed, self._sock = asked, gone, sock
         self._request = Request()
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.channel = Channel(loop, sock, self)
@@ -148,24 +148,24 @@
     def on_message_complete(self) -> None:
         assert self._parser is not None
         self._request.method = self._parser.get_method().decode()
-        self._asked(self, self._request)
+        self._on_request(self, self._request)
 
     def answer(self, status: int, body: bytes = b"", headers: dict[str, str] | None = None) -> None:
         self.channel.send(http.answer(status, body, headers))
 
-    def begin(self) -> None:
+    def begin_stream(self) -> None:
         fields = {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked"}
         self.channel.send(http.head("HTTP/1.1 200 OK", fields))
 
-    def event(self, data: bytes) -> None:
+    def send_event(self, data: bytes) -> None:
         self.channel.send(http.chunk(data))
 
-    def end(self) -> None:
+    def end_stream(self) -> None:
         self.channel.send(http.LAST_CHUNK)
 
     def reset(self) -> None:
         self._parser = None
-        reset(self._sock, self.channel)
+        reset_connection(self._sock, self.channel)
 
     def connected(self) -> None:
         """Accepted connections are up from the start."""
@@ -175,41 +175,41 @@
 
     def lost(self, error: OSError | None) -> None:
         self._parser = None
-        self._gone(self)
+        self._on_closed(self)
 
 
-class Exchange(Protocol):
+class ResponseHandler(Protocol):
     """What a client waits for on a connection."""
 
-    def begun(self, status: int, headers: dict[str, str]) -> None: ...
+    def headers_received(self, status: int, headers: dict[str, str]) -> None: ...
 
-    def data(self, data: bytes) -> None: ...
+    def body_received(self, data: bytes) -> None: ...
 
-    def whole(self) -> None: ...
+    def completed(self) -> None: ...
 
-    def lost(self, error: OSError | None) -> None: ...
+    def connection_lost(self, error: OSError | None) -> None: ...
 
 
-class ClientSide:
+class ClientConnection:
     """One connection that was opened here; one exchange at a time."""
 
     def __init__(self, loop: Loop, address: Address) -> None:
         """Raises OSError."""
         self._loop = loop
-        self.exchange: Exchange | None = None
-        self.opened, self.used, self.ending = loop.now, 0, False
+        self.handler: ResponseHandler | None = None
+        self.opened_at, self.request_count, self.closing = loop.now, 0, False
         self._parser: httptools.HttpResponseParser | None = None
         self._headers: dict[str, str] = {}
         self.channel = Channel.connect(loop, address, self)
 
     @property
     def usable(self) -> bool:
-        return not self.channel.closed and self.exchange is None and not self.ending
+        return not self.channel.closed and self.handler is None and not self.closing
 
-    def ask(self, exchange: Exchange, data: bytes) -> None:
-        self.exchange, self._headers = exchange, {}
+    def send_request(self, handler: ResponseHandler, data: bytes) -> None:
+        self.handler, self._headers = handler, {}
         self._parser = httptools.HttpResponseParser(self)
-        self.used += 1
+        self.request_count += 1
         self.channel.send(data)
 
     def received(self, data: bytes) -> None:
@@ -220,20 +220,20 @@
         self._headers[name.decode().lower()] = value.decode()
 
     def on_headers_complete(self) -> None:
-        self.ending = self._headers.get("connection") == "close"
-        if self._parser is not None and self.exchange is not None:
-            self.exchange.begun(self._parser.get_status_code(), self._headers)
+        self.closing = self._headers.get("connection") == "close"
+        if self._parser is not None and self.handler is not None:
+            self.handler.headers_received(self._parser.get_status_code(), self._headers)
 
     def on_body(self, body: bytes) -> None:
-        if self.exchange is not None:
-            self.exchange.data(body)
+        if self.handler is not None:
+            self.handler.body_received(body)
 
     def on_message_complete(self) -> None:
-        exchange, self.exchange = self.exchange, None
-        if self.ending:
+        handler, self.handler = self.handler, None
+        if self.closing:
             self.close()
-        if exchange is not None:
-            exchange.whole()
+        if handler is not None:
+            handler.completed()
 
     def connected(self) -> None:
         """What is asked is on its way."""
@@ -242,43 +242,45 @@
         """What is asked is written."""
 
     def lost(self, error: OSError | None) -> None:
-        exchange, self.exchange, self._parser = self.exchange, None, None
-        if exchange is not None:
-            exchange.lost(error)
+        handler, self.handler, self._parser = self.handler, None, None
+        if handler is not None:
+            handler.connection_lost(error)
 
     def close(self) -> None:
         self._parser = None
         self.channel.abort()
 
 
-class Call:
+class HttpCall:
     """One call with a short answer, as operators and fronts make it; `done` hears the status, 0 for none."""
 
     def __init__(
         self, loop: Loop, address: Address, method: str, path: str, done: Callable[[int], None]
     ) -> None:
-        self._status, self._done = 0, done
+        self._status, self._on_status = 0, done
         try:
-            self._side = ClientSide(loop, address)
+            self._connection = ClientConnection(loop, address)
         except OSError:
             loop.after(0.0, lambda: done(0))
             return
-        self._side.ask(self, http.head(f"{method} {path} HTTP/1.1", {"Host": "x", "Connection": "close"}))
+        self._connection.send_request(
+            self, http.head(f"{method} {path} HTTP/1.1", {"Host": "x", "Connection": "close"})
+        )
 
-    def begun(self, status: int, headers: dict[str, str]) -> None:
+    def headers_received(self, status: int, headers: dict[str, str]) -> None:
         self._status = status
 
-    def data(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """The status says it."""
 
-    def whole(self) -> None:
-        self._side.close()
-        self._done(self._status)
+    def completed(self) -> None:
+        self._connection.close()
+        self._on_status(self._status)
 
-    def lost(self, error: OSError | None) -> None:
-        self._done(0)
+    def connection_lost(self, error: OSError | None) -> None:
+        self._on_status(0)
 
-    def give_up(self) -> None:
-        if hasattr(self, "_side"):
-            self._side.exchange = None
-            self._side.close()
+    def cancel(self) -> None:
+        if hasattr(self, "_connection"):
+            self._connection.handler = None
+            self._connection.close()
--- a/yewlab/processes/host.py
+++ b/yewlab/processes/instances.py
@@ -17,11 +17,11 @@
 from yewhook.config import Address
 from yewhook.loop import Loop
 
-from .net import HOST, Call
+from .http_connections import HOST, HttpCall
 
 ROOT = Path(__file__).resolve().parents[2]
-DEADLINE, KILLED_AFTER = 3.0, 0.7  # s from SIGTERM to SIGKILL: the longest deadline, counted as 3 s, and more
-ASK_EVERY = 0.05  # s between calls for the yes of a process that starts
+GRACE_S, KILL_MARGIN_S = 3.0, 0.7  # s from SIGTERM to SIGKILL: the longest deadline, counted as 3 s, and more
+READY_POLL_S = 0.05  # s between calls for the yes of a process that starts
 
 
 @dataclass(eq=False)
@@ -29,17 +29,17 @@
     """One process of an instance."""
 
     popen: subprocess.Popen[bytes]
-    door: Address
-    log: Path
-    started: float
-    yes_at: float | None = None  # when it first said that it can serve
+    mgmt_address: Address
+    log_path: Path
+    started_at: float
+    ready_at: float | None = None  # when it first said that it can serve
     killed: bool = False  # outright, by the script or the platform
 
     @property
     def running(self) -> bool:
         return self.popen.poll() is None
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         if self.running:
             self.popen.send_signal(number)
 
@@ -49,14 +49,14 @@
             self.popen.kill()
 
     @property
-    def longest_turn(self) -> float:
+    def longest_turn_s(self) -> float:
         """s that the longest turn of its loop took, of those that it has logged."""
-        turns = re.findall(r" turn took long: ([0-9.]+) s", self.log.read_text(errors="replace"))
+        turns = re.findall(r" turn took long: ([0-9.]+) s", self.log_path.read_text(errors="replace"))
         return max(map(float, turns), default=0.0)
 
-    def said(self, event: str) -> int:
+    def count_log_lines(self, event: str) -> int:
         """How many lines of this event its log has."""
-        return self.log.read_text(errors="replace").count(f" {event}")
+        return self.log_path.read_text(errors="replace").count(f" {event}")
 
 
 @dataclass(eq=False)
@@ -78,10 +78,10 @@
         self.address: Address = self._listener.getsockname()
 
     @property
-    def serving(self) -> Process:
+    def serving_process(self) -> Process:
         return self.processes[-1]
 
-    def start(self) -> Process:
+    def start_process(self) -> Process:
         """A further process, beside what runs already."""
         door = free_address()
         number = len(self.processes)
@@ -101,10 +101,10 @@
         self.processes.append(process)
         return process
 
-    def end(self, process: Process) -> None:
+    def terminate(self, process: Process) -> None:
         """As the platform does it: SIGTERM, and SIGKILL once the longest deadline is over."""
-        process.signal(signal.SIGTERM)
-        self.loop.after(DEADLINE + KILLED_AFTER, process.kill)
+        process.send_signal(signal.SIGTERM)
+        self.loop.after(GRACE_S + KILL_MARGIN_S, process.kill)
 
     def when_ready(self, process: Process, within: float, then: Callable[[bool], None]) -> None:
         """Ask a process that starts until it says yes, or the time is over."""
@@ -112,18 +112,18 @@
 
         def heard(status: int) -> None:
             if status == 200:
-                process.yes_at = self.loop.now
+                process.ready_at = self.loop.now
                 return then(True)
             if self.loop.now >= end or not process.running:
                 return then(False)
-            return self.loop.after(ASK_EVERY, ask)
+            return self.loop.after(READY_POLL_S, ask)
 
         def ask() -> None:
-            Bounded(self.loop, process.door, "GET", "/-/ready", heard)
+            TimedCall(self.loop, process.mgmt_address, "GET", "/-/ready", heard)
 
         ask()
 
-    def let_go(self) -> None:
+    def close_listener(self) -> None:
         """Leave the address to somebody else."""
         self._listener.close()
 
@@ -136,27 +136,27 @@
         self._listener.close()
 
 
-class Bounded:
+class TimedCall:
     """A call that is given up after a second; then its status is 0."""
 
-    PATIENCE = 1.0  # s within which an answer is owed
+    TIMEOUT_S = 1.0  # s within which an answer is owed
 
     def __init__(
         self, loop: Loop, address: Address, method: str, path: str, done: Callable[[int], None]
     ) -> None:
         self._done, self.over = done, False
-        self._call = Call(loop, address, method, path, self._heard)
-        loop.after(self.PATIENCE, self._late)
+        self._call = HttpCall(loop, address, method, path, self._on_status)
+        loop.after(self.TIMEOUT_S, self._on_timeout)
 
-    def _heard(self, status: int) -> None:
+    def _on_status(self, status: int) -> None:
         if not self.over:
             self.over = True
             self._done(status)
 
-    def _late(self) -> None:
+    def _on_timeout(self) -> None:
         if not self.over:
-            self._call.give_up()
-            self._heard(0)
+            self._call.cancel()
+            self._on_status(0)
 
 
 def free_address() -> Address:
--- a/yewlab/processes/links.py
+++ b/yewlab/processes/links.py
@@ -12,20 +12,22 @@
 from yewhook.config import Address
 from yewhook.loop import Loop
 
-from .net import HOST, Listener, reset
+from .http_connections import HOST, Listener, reset_connection
 
-LONGEST = 2048  # bytes of a datagram
-WAKES_FOR = 0.02  # s in which a party that comes back finds out which of its connections have ended meanwhile
+MAX_DATAGRAM_BYTES = 2048  # bytes of a datagram
+RESUME_DELAY_S = (
+    0.02  # s in which a party that comes back finds out which of its connections have ended meanwhile
+)
 
 
 @dataclass(slots=True)
-class Ways:
+class LinkState:
     """What becomes of what travels: towards the far end, and back."""
 
-    there: bool = True
-    back: bool = True
-    delay: float = 0.0  # s, both ways
-    silent: bool = False  # the far end reads and writes nothing; its connections stay open
+    forward: bool = True
+    backward: bool = True
+    delay_s: float = 0.0  # s, both ways
+    hung: bool = False  # the far end reads and writes nothing; its connections stay open
 
 
 class TcpLink:
@@ -33,136 +35,140 @@
     connections come up and stay silent."""
 
     def __init__(self, loop: Loop, target: Callable[[], Address]) -> None:
-        self.ways = Ways()
+        self.state = LinkState()
         self._loop, self._target = loop, target
-        self._pipes: list[Pipe] = []
-        self._listener: Listener | None = Listener(loop, self._accepted)
+        self._connections: list[RelayedConnection] = []
+        self._listener: Listener | None = Listener(loop, self._on_accepted)
         self.address = self._listener.address
 
-    def cut_power(self) -> None:
+    def power_off(self) -> None:
         """Nobody is there any more: what is open breaks, and connects are refused."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
-        self.reset()
+        self.reset_connections()
 
-    def cut_off(self) -> None:
+    def isolate(self) -> None:
         """The far end's machine is cut off: what is open breaks, and new connections do not come up."""
         if self._listener is not None:
             self._listener.block()
-        self.reset()
+        self.reset_connections()
 
-    def fall_silent(self) -> None:
+    def hang(self) -> None:
         """The far end hangs: it reads, writes and accepts nothing, and what is open stays open."""
-        self.ways.silent = True
+        self.state.hung = True
         if self._listener is not None:
-            self._listener.ignore()
-        for pipe in self._pipes:
-            pipe.fall_silent()
+            self._listener.pause_accepting()
+        for connection in self._connections:
+            connection.hang()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """The far end goes on, with what has come meanwhile on connections that are still open."""
-        self.ways.silent = False
-        for pipe in self._pipes:
-            pipe.wake()
+        self.state.hung = False
+        for connection in self._connections:
+            connection.resume()
         if self._listener is not None:
-            self._listener.heed()
+            self._listener.resume_accepting()
 
     def reconnect(self) -> None:
         """The far end can be reached again."""
         if self._listener is not None:
             self._listener.unblock()
 
-    def restore(self) -> None:
+    def power_on(self) -> None:
         """The far end is there again, at the same address."""
         if self._listener is None:
-            self._listener = Listener(self._loop, self._accepted, self.address)
+            self._listener = Listener(self._loop, self._on_accepted, self.address)
 
-    def _accepted(self, sock: socket.socket) -> None:
-        self._pipes = [pipe for pipe in self._pipes if not pipe.over]
-        pipe = Pipe(self._loop, self.ways, sock, self._target())
-        self._pipes.append(pipe)
-        pipe.wake()  # it may have waited in the kernel's queue, and have ended there
+    def _on_accepted(self, sock: socket.socket) -> None:
+        self._connections = [connection for connection in self._connections if not connection.closed]
+        connection = RelayedConnection(self._loop, self.state, sock, self._target())
+        self._connections.append(connection)
+        connection.resume()  # it may have waited in the kernel's queue, and have ended there
 
-    def reset(self) -> None:
+    def reset_connections(self) -> None:
         """Break all that is open now; what comes later is passed on."""
-        for pipe in self._pipes:
-            pipe.reset()
-        self._pipes.clear()
+        for connection in self._connections:
+            connection.reset()
+        self._connections.clear()
 
     def close(self) -> None:
-        self.cut_power()
+        self.power_off()
 
 
-class Pipe:
+class RelayedConnection:
     """One connection through a link."""
 
-    def __init__(self, loop: Loop, ways: Ways, sock: socket.socket, target: Address) -> None:
-        self._loop, self._ways, self._sock = loop, ways, sock
-        self.over = False
+    def __init__(self, loop: Loop, state: LinkState, sock: socket.socket, target: Address) -> None:
+        self._loop, self._state, self._sock = loop, state, sock
+        self.closed = False
         # While the far end hangs, and when it wakes: what has come for it.
-        self._kept: bytearray | None = None
-        self._near = Channel(loop, sock, End(lambda data: self._pass(data, True), self._ended))
+        self._buffered: bytearray | None = None
+        self._client_channel = Channel(
+            loop, sock, ChannelCallbacks(lambda data: self._relay(data, True), self._on_lost)
+        )
         try:
-            self._far = Channel.connect(loop, target, End(lambda data: self._pass(data, False), self._ended))
+            self._server_channel = Channel.connect(
+                loop, target, ChannelCallbacks(lambda data: self._relay(data, False), self._on_lost)
+            )
         except OSError:
             self.reset()
 
-    def _pass(self, data: bytes, there: bool) -> None:
-        if not (self._ways.there if there else self._ways.back):
+    def _relay(self, data: bytes, forward: bool) -> None:
+        if not (self._state.forward if forward else self._state.backward):
             return
-        if there and self._kept is not None:
-            self._kept += data
+        if forward and self._buffered is not None:
+            self._buffered += data
             return
-        to = self._far if there else self._near
-        if self._ways.delay:
-            self._loop.after(self._ways.delay, lambda: to.send(data))
+        to = self._server_channel if forward else self._client_channel
+        if self._state.delay_s:
+            self._loop.after(self._state.delay_s, lambda: to.send(data))
         else:
             to.send(data)
 
-    def _ended(self, error: OSError | None) -> None:
-        if self.over:
+    def _on_lost(self, error: OSError | None) -> None:
+        if self.closed:
             return
         # An attempt that is given up is out no longer, though its server hangs, and a server that wakes to a
         # closed connection begins nothing for it.
-        if error is not None or self._kept is not None:
+        if error is not None or self._buffered is not None:
             return self.reset()
-        self.over = True
-        for channel in (self._near, self._far):
-            self._loop.after(self._ways.delay, channel.finish)
+        self.closed = True
+        for channel in (self._client_channel, self._server_channel):
+            self._loop.after(self._state.delay_s, channel.finish)
         return None
 
-    def fall_silent(self) -> None:
+    def hang(self) -> None:
         """Pass nothing on, either way, but what the far end wrote before: its kernel sends that."""
-        self._kept = self._kept or bytearray()
-        if hasattr(self, "_far"):
-            self._far.catch_up()
-            self._far.pause(True)
+        self._buffered = self._buffered or bytearray()
+        if hasattr(self, "_server_channel"):
+            self._server_channel.catch_up()
+            self._server_channel.pause(True)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Go on; what has come for the far end is passed on where its sender is still there."""
-        self._kept = self._kept or bytearray()
-        if hasattr(self, "_far"):
-            self._far.pause(False)
-        self._loop.after(WAKES_FOR, self._awake)
+        self._buffered = self._buffered or bytearray()
+        if hasattr(self, "_server_channel"):
+            self._server_channel.pause(False)
+        self._loop.after(RESUME_DELAY_S, self._flush_buffered)
 
-    def _awake(self) -> None:
-        if self._ways.silent:  # again
+    def _flush_buffered(self) -> None:
+        if self._state.hung:  # again
             return
-        kept, self._kept = self._kept, None
-        if kept and not self.over:
-            self._pass(bytes(kept), True)
+        kept, self._buffered = self._buffered, None
+        if kept and not self.closed:
+            self._relay(bytes(kept), True)
 
     def reset(self) -> None:
-        if not self.over:
-            self.over = True
-            reset(self._sock, self._near)
-            if hasattr(self, "_far"):
-                self._far.abort()
+        if not self.closed:
+            self.closed = True
+            reset_connection(self._sock, self._client_channel)
+            if hasattr(self, "_server_channel"):
+                self._server_channel.abort()
 
 
 @dataclass(slots=True)
-class End:
+class ChannelCallbacks:
     """One end's owner."""
 
     received: Callable[[bytes], None]
@@ -175,53 +181,55 @@
         """Bytes are few here."""
 
 
-class Between:
+class PeerNetwork:
     """Datagrams among a tier's instances. Each instance sees every other one at an address of its own, and
     one address for all; which of them hears which can be cut, one way too."""
 
     def __init__(self, loop: Loop, count: int) -> None:
         self._loop = loop
-        self.cut: set[tuple[int, int]] = set()  # sender, receiver
-        self._faces = {(i, j): self._socket(i, j) for i in range(count) for j in range(count)}
-        self._all = [self._socket(i, None) for i in range(count)]
-        self.listens = _free(count)  # where each instance is to listen; drawn last, or one of ours takes it
+        self.blocked: set[tuple[int, int]] = set()  # sender, receiver
+        self._unicast_sockets = {(i, j): self._socket(i, j) for i in range(count) for j in range(count)}
+        self._broadcast_sockets = [self._socket(i, None) for i in range(count)]
+        self.listen_addresses = _free_addresses(
+            count
+        )  # where each instance is to listen; drawn last, or one of ours takes it
 
     def _socket(self, sender: int, receiver: int | None) -> socket.socket:
         """Where an instance finds another one, or all of them; that one's datagrams come from here, too."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind((HOST, 0))
         sock.setblocking(False)
-        self._loop.watch(sock, selectors.EVENT_READ, lambda _: self._pass(sock, sender, receiver))
+        self._loop.watch(sock, selectors.EVENT_READ, lambda _: self._relay(sock, sender, receiver))
         return sock
 
     def peers(self, instance: int) -> list[Address]:
         """The addresses of all, as one instance sees them."""
-        return [self._faces[instance, j].getsockname() for j in range(len(self._all))]
+        return [self._unicast_sockets[instance, j].getsockname() for j in range(len(self._broadcast_sockets))]
 
-    def everyone(self, instance: int) -> Address:
-        address: Address = self._all[instance].getsockname()
+    def broadcast_address(self, instance: int) -> Address:
+        address: Address = self._broadcast_sockets[instance].getsockname()
         return address
 
-    def _pass(self, sock: socket.socket, sender: int, receiver: int | None) -> None:
+    def _relay(self, sock: socket.socket, sender: int, receiver: int | None) -> None:
         while True:
             try:
-                data, came_from = sock.recvfrom(LONGEST)
+                data, came_from = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
-            if came_from != self.listens[sender]:
+            if came_from != self.listen_addresses[sender]:
                 continue
-            others = [j for j in range(len(self.listens)) if j != sender]
+            others = [j for j in range(len(self.listen_addresses)) if j != sender]
             for other in others if receiver is None else [receiver]:
-                if (sender, other) not in self.cut:
-                    self._faces[other, sender].sendto(data, self.listens[other])
+                if (sender, other) not in self.blocked:
+                    self._unicast_sockets[other, sender].sendto(data, self.listen_addresses[other])
 
     def close(self) -> None:
-        for sock in (*self._faces.values(), *self._all):
+        for sock in (*self._unicast_sockets.values(), *self._broadcast_sockets):
             self._loop.watch(sock, 0, lambda _: None)
             sock.close()
 
 
-def _free(count: int) -> list[Address]:
+def _free_addresses(count: int) -> list[Address]:
     """So many addresses that nobody has now."""
     with ExitStack() as held:
         socks = [held.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) for _ in range(count)]
--- a/yewlab/processes/power.py
+++ b/yewlab/processes/power.py
@@ -16,34 +16,53 @@
 from yewhook.recovery.snapshot import NAME, Snapshot, pack
 from yewhook.worker_list import server_id
 
-from .agent import AgentSide
+from .agent import AgentProcess
 from .clients import Tally
-from .operate import Play, Waits
-from .stage import HALLS, OFFSET, Stage
+from .operate import Script, ScriptRunner
+from .testbed import UNIX_OFFSET_S, ZONES, ProcessTestBed
 
-ROUTERS, RATE = 6, 18.0  # instances, and turns a second: six tenths of what the workers can do
-FLEET = (Role.READER, Role.WRITER, Role.MIXED, Role.READER, Role.WRITER, Role.READER,
+ROUTERS, TURNS_PER_S = 6, 18.0  # instances, and turns a second: six tenths of what the workers can do
+ROLES = (Role.READER, Role.WRITER, Role.MIXED, Role.READER, Role.WRITER, Role.READER,
          Role.WRITER, Role.READER, Role.WRITER)  # fmt: skip
-START_MOST = 20.0  # s for all routers to say yes at first
-BEFORE = 8.0  # s of load before the loss
-ORDERED = 2.5  # s before the loss at which operators drain a router and the register a worker
-DARK = 2.0  # s
-APART = (2.0, 7.0)  # s from hall to hall; up to 20 s in the design's cases, here within the time of a test
-REGISTER = (0.5, 4.0)  # s after the first hall
-NOTICED = 3.0  # s after its return at which the register takes out what is gone
-BURST, SURGE, SURGE_FOR = 60, 1.2, 8.0  # turns within a second, then times the usual rate, for so many s
-AFTER, OVER = 20.0, 14.0  # s after all is back that still count, and for what is open then
-SECOND = (3.0, 5.0)  # s after the first hall at which everything goes once more
-MOST = 88.0  # s that one run may take
-HALF, FULL, WINDOW = 0.5, 0.9, 3  # of the worth asked for, in a window of so many s
-REGISTERS = ("register-late", "register-empty", "register-old")
-OTHERS = ("second-loss", "cut-snapshot", "stale-snapshot", "clock", "parted", "alone", "new-ids", "one-class")
-ALWAYS = ("never", "drain")
-FAULTS = (*ALWAYS, *REGISTERS, *OTHERS)
+START_TIMEOUT_S = 20.0  # s for all routers to say yes at first
+LOAD_BEFORE_S = 8.0  # s of load before the loss
+ORDERS_BEFORE_LOSS_S = 2.5  # s before the loss at which operators drain a router and the register a worker
+OUTAGE_S = 2.0  # s
+ZONE_INTERVAL_S = (
+    2.0,
+    7.0,
+)  # s from hall to hall; up to 20 s in the design's cases, here within the time of a test
+DISCOVERY_DELAY_S = (0.5, 4.0)  # s after the first hall
+REMOVAL_DELAY_S = 3.0  # s after its return at which the register takes out what is gone
+BURST_TURNS, SURGE_FACTOR, SURGE_S = (
+    60,
+    1.2,
+    8.0,
+)  # turns within a second, then times the usual rate, for so many s
+MEASURED_AFTER_S, FINISH_WITHIN_S = (
+    20.0,
+    14.0,
+)  # s after all is back that still count, and for what is open then
+SECOND_LOSS_DELAY_S = (3.0, 5.0)  # s after the first hall at which everything goes once more
+MAX_RUN_S = 88.0  # s that one run may take
+HALF_SHARE, FULL_SHARE, WINDOW_S = 0.5, 0.9, 3  # of the worth asked for, in a window of so many s
+DISCOVERY_FAULTS = ("register-late", "register-empty", "register-old")
+OTHER_FAULTS = (
+    "second-loss",
+    "cut-snapshot",
+    "stale-snapshot",
+    "clock",
+    "parted",
+    "alone",
+    "new-ids",
+    "one-class",
+)
+PERMANENT_FAULTS = ("never", "drain")
+FAULTS = (*PERMANENT_FAULTS, *DISCOVERY_FAULTS, *OTHER_FAULTS)
 DRAINED_ROUTER, DRAINED_WORKER = "n5", "w7"
-AGENT = 'state = "state"\nat_a_time = 2\n'
-OPERATORS = '[levels]\nmode = "on"\n'
-RECOVERY = """
+AGENT_SETTINGS = 'state = "state"\nat_a_time = 2\n'
+LEVELS_SETTINGS = '[levels]\nmode = "on"\n'
+RECOVERY_SETTINGS = """
 [recovery]
 mode = "on"
 folder = "kept-{number}"
@@ -57,25 +76,25 @@
     """What a seed draws; s are after the first hall's return."""
 
     faults: frozenset[str]
-    halls: tuple[float, ...]
-    register: float
-    second: float
-    never: frozenset[str]
+    zone_delays: tuple[float, ...]
+    discovery_delay: float
+    second_loss_delay: float
+    missing_workers: frozenset[str]
     seed: int
-    after: float = AFTER
+    measured_after: float = MEASURED_AFTER_S
 
     @property
-    def all(self) -> float:
-        return max(*self.halls, self.register)
+    def last_return(self) -> float:
+        return max(*self.zone_delays, self.discovery_delay)
 
 
 def draw(seed: int, asked: tuple[str, ...] = ()) -> Plan:
     """The faults are those asked for, or drawn."""
     random = Random(f"power {seed}")
-    drawn = {*ALWAYS, random.choice(REGISTERS), *random.sample(OTHERS, 2)}
-    first, second = 0.0, random.uniform(*APART)
-    halls = [first, second, second + random.uniform(*APART)]
-    register, again = random.uniform(*REGISTER), random.uniform(*SECOND)
+    drawn = {*PERMANENT_FAULTS, random.choice(DISCOVERY_FAULTS), *random.sample(OTHER_FAULTS, 2)}
+    first, second = 0.0, random.uniform(*ZONE_INTERVAL_S)
+    halls = [first, second, second + random.uniform(*ZONE_INTERVAL_S)]
+    register, again = random.uniform(*DISCOVERY_DELAY_S), random.uniform(*SECOND_LOSS_DELAY_S)
     # One of each three, in their halls in turn, but never all of a role, and not the one that drains.
     never = frozenset({"w0", "w4", "w8"})
     faults = frozenset(asked or drawn)
@@ -83,132 +102,134 @@
 
 
 @dataclass(slots=True)
-class Loss:
-    """One run: the stage, its agent, and what is done to them."""
+class PowerLossRun:
+    """One run: the test_bed, its agent, and what is done to them."""
 
     plan: Plan
     folder: Path
-    with_it: bool
-    stage: Stage = field(init=False)
-    agent: AgentSide = field(init=False)
+    with_recovery: bool
+    test_bed: ProcessTestBed = field(init=False)
+    agent: AgentProcess = field(init=False)
     pids: list[int] = field(default_factory=list)
-    failed: list[str] = field(default_factory=list)
-    off: set[str] = field(default_factory=set)
+    failed_orders: list[str] = field(default_factory=list)
+    powered_off: set[str] = field(default_factory=set)
     sent_to_drained: int = 0
-    back_at: float = 0.0  # when power returned
-    after: Tally = field(default_factory=Tally)
-    before: Tally = field(init=False)
+    power_back_at: float = 0.0  # when power returned
+    tally_after: Tally = field(default_factory=Tally)
+    tally_before: Tally = field(init=False)
     drained_asked: int = 0
-    boots: int = 0
+    boot_count: int = 0
 
     def __post_init__(self) -> None:
-        self._boot()
-        self.stage = Stage(self.folder, ROUTERS, self.plan.seed, RATE, FLEET, len(HALLS))
+        self._write_boot_id()
+        self.test_bed = ProcessTestBed(self.folder, ROUTERS, self.plan.seed, TURNS_PER_S, ROLES, len(ZONES))
         if "parted" in self.plan.faults:
             halves = [(i, j) for i in range(ROUTERS) for j in range(ROUTERS) if i % 2 != j % 2]
-            self.stage.between.cut |= set(halves)
-        lines = AGENT if self.with_it else ""
-        self.agent = AgentSide(self.stage, self.folder, lines, self._operators)
+            self.test_bed.peer_network.blocked |= set(halves)
+        lines = AGENT_SETTINGS if self.with_recovery else ""
+        self.agent = AgentProcess(self.test_bed, self.folder, lines, self._settings_file)
 
-    def _operators(self, number: int) -> str:
-        return OPERATORS + (RECOVERY.format(number=number) if self.with_it else "")
+    def _settings_file(self, number: int) -> str:
+        return LEVELS_SETTINGS + (RECOVERY_SETTINGS.format(number=number) if self.with_recovery else "")
 
-    def _boot(self) -> None:
-        self.boots += 1
-        (self.folder / "boot").write_text(f"run {self.boots}\n")
+    def _write_boot_id(self) -> None:
+        self.boot_count += 1
+        (self.folder / "boot").write_text(f"run {self.boot_count}\n")
 
     # ---- the script ----
 
-    def script(self) -> Waits:
-        stage, plan = self.stage, self.plan
-        clients, loop = stage.clients, stage.loop
-        end = loop.now + START_MOST
-        yield lambda: all(way.healthy for way in clients.ways) or loop.now > end
-        clients.begin()
-        yield BEFORE - ORDERED
+    def script(self) -> Script:
+        test_bed, plan = self.test_bed, self.plan
+        clients, loop = test_bed.clients, test_bed.loop
+        end = loop.now + START_TIMEOUT_S
+        yield lambda: all(route.healthy for route in clients.routes) or loop.now > end
+        clients.start()
+        yield LOAD_BEFORE_S - ORDERS_BEFORE_LOSS_S
         if "drain" in plan.faults:
-            yield from self.agent.order("drain", DRAINED_ROUTER, "the night shift", self.failed.append)
-            stage.register.put(DRAINED_WORKER, lifecycle="draining")
-        yield ORDERED
+            yield from self.agent.send_order(
+                "drain", DRAINED_ROUTER, "the night shift", self.failed_orders.append
+            )
+            test_bed.discovery.put(DRAINED_WORKER, lifecycle="draining")
+        yield ORDERS_BEFORE_LOSS_S
         yield from self.agent.status(self._note_pids)
-        self.before = clients.tally
-        held = {name: dict(entry) for name, entry in stage.register.entries.items()}
-        self._cut()
-        yield DARK
-        self._damage()
-        yield from self._return(held)
+        self.tally_before = clients.tally
+        held = {name: dict(entry) for name, entry in test_bed.discovery.entries.items()}
+        self._cut_power()
+        yield OUTAGE_S
+        self._damage_snapshots()
+        yield from self._restore_power(held)
         if "second-loss" in plan.faults:
-            yield max(0.0, self.back_at + plan.second - loop.now)
+            yield max(0.0, self.power_back_at + plan.second_loss_delay - loop.now)
             yield from self.agent.status(self._note_pids)
-            again = self._cut(first=False)
-            yield DARK / 2
-            self._boot()
-            self._come_back(again)
-        yield max(0.0, self.back_at + plan.all + NOTICED - loop.now)
-        for name in sorted(plan.never):
-            if name in stage.register.entries:
-                stage.register.put(name, lifecycle="removed")
-        yield max(0.0, self.back_at + plan.all + plan.after - loop.now)
+            again = self._cut_power(first=False)
+            yield OUTAGE_S / 2
+            self._write_boot_id()
+            self._restore_after_second_loss(again)
+        yield max(0.0, self.power_back_at + plan.last_return + REMOVAL_DELAY_S - loop.now)
+        for name in sorted(plan.missing_workers):
+            if name in test_bed.discovery.entries:
+                test_bed.discovery.put(name, lifecycle="removed")
+        yield max(0.0, self.power_back_at + plan.last_return + plan.measured_after - loop.now)
         clients.stopped = True
-        end = loop.now + OVER
-        yield lambda: not clients.open or loop.now > end
+        end = loop.now + FINISH_WITHIN_S
+        yield lambda: not clients.open_requests or loop.now > end
 
     def _note_pids(self, status: list[dict[str, Any]]) -> None:
         self.pids = [one["pid"] for one in status if one["pid"]]
 
-    def _cut(self, first: bool = True) -> list[str]:
+    def _cut_power(self, first: bool = True) -> list[str]:
         """Everything that has power is gone at once; the workers that had it."""
-        stage = self.stage
-        stage.clients.paused = first
-        for way in stage.clients.ways:
-            way.healthy, way.killed_at = False, stage.loop.now
-        self.agent.cut_power(self.pids)
-        had = [name for name in stage.workers.boxes if name not in self.off]
+        test_bed = self.test_bed
+        test_bed.clients.paused = first
+        for route in test_bed.clients.routes:
+            route.healthy, route.killed_at = False, test_bed.loop.now
+        self.agent.kill_all(self.pids)
+        had = [name for name in test_bed.workers.by_name if name not in self.powered_off]
         for name in had:
             self._worker_off(name)
-        for (_, name), link in stage.links.items():
-            if name == "register":
-                link.cut_power()
+        for (_, name), link in test_bed.links.items():
+            if name == "discovery":
+                link.power_off()
         return had
 
     def _worker_off(self, name: str) -> None:
-        self.off.add(name)
+        self.powered_off.add(name)
         for number in range(ROUTERS):
-            self.stage.links[number, name].cut_power()
-        self.stage.workers.boxes[name].die()
+            self.test_bed.links[number, name].power_off()
+        self.test_bed.workers.by_name[name].restart()
 
     def _worker_on(self, name: str) -> None:
-        worker = self.stage.workers.boxes[name]
+        worker = self.test_bed.workers.by_name[name]
         if "new-ids" in self.plan.faults and name in ("w2", "w5"):
-            self._rename(name)
-        self.off.discard(name)
-        worker.cool()
+            self._replace_id(name)
+        self.powered_off.discard(name)
+        worker.begin_slow_start()
         for number in range(ROUTERS):
-            self.stage.links[number, name].restore()
-        if self.hears:
-            self._tell_start(name)
+            self.test_bed.links[number, name].power_on()
+        if self.discovery_current:
+            self._report_start(name)
 
-    register_up: bool = False
-    hears: bool = False  # the register hears of starts; one that has fallen back does later
-    renamed: dict[str, str] = field(default_factory=dict)
+    discovery_up: bool = False
+    discovery_current: bool = False  # the register hears of starts; one that has fallen back does later
+    new_ids: dict[str, str] = field(default_factory=dict)
 
-    def _rename(self, name: str) -> None:
+    def _replace_id(self, name: str) -> None:
         """Another process at its address, under an id that nobody knows."""
         new = f"{name}-again"
-        if name not in self.renamed:
-            self.renamed[name] = new
+        if name not in self.new_ids:
+            self.new_ids[name] = new
             for number in range(ROUTERS):
-                self.stage.links[number, new] = self.stage.links[number, name]
-            self.stage.workers.boxes[name].number = server_id(new)
+                self.test_bed.links[number, new] = self.test_bed.links[number, name]
+            self.test_bed.workers.by_name[name].server_id = server_id(new)
 
     def _started_ms(self, name: str) -> float:
         skew = 0.0
         if "clock" in self.plan.faults:  # the register's clock is 2 s off
             skew = 2.0 if self.plan.seed % 2 else -2.0
-        return round((self.stage.workers.boxes[name].server.started + OFFSET + skew) * 1000.0)
+        return round((self.test_bed.workers.by_name[name].server.started + UNIX_OFFSET_S + skew) * 1000.0)
 
-    def _tell_start(self, name: str) -> None:
-        register, new = self.stage.register, self.renamed.get(name)
+    def _report_start(self, name: str) -> None:
+        register, new = self.test_bed.discovery, self.new_ids.get(name)
         if new is None:
             drains = name == DRAINED_WORKER and "drain" in self.plan.faults
             state = "draining" if drains else "up"
@@ -220,15 +241,15 @@
         register.put(new, **entry, lifecycle="up", startedAtMs=self._started_ms(name))
 
     def _entry(self, name: str) -> dict[str, Any]:
-        """What the register knew of a worker before the loss."""
+        """What the register knew of a worker before the run."""
         kept = ("zone", "cell", "machineType", "weight")
-        return {key: self.known[name][key] for key in kept}
+        return {key: self.entries_before[name][key] for key in kept}
 
-    known: dict[str, dict[str, Any]] = field(default_factory=dict)
+    entries_before: dict[str, dict[str, Any]] = field(default_factory=dict)
 
-    def _damage(self) -> None:
+    def _damage_snapshots(self) -> None:
         """What the dark does to what was kept."""
-        self._boot()
+        self._write_boot_id()
         random, faults = Random(f"damage {self.plan.seed}"), self.plan.faults
         for number in range(ROUTERS):
             path = self.folder / f"kept-{number}" / "snapshot"
@@ -249,88 +270,94 @@
                 boot = (self.folder / "boot").read_text().strip()
                 path.write_bytes(pack(replace(snapshot, boot=boot)))
 
-    def _return(self, held: dict[str, dict[str, Any]]) -> Waits:
+    def _restore_power(self, held: dict[str, dict[str, Any]]) -> Script:
         """Hall by hall."""
-        stage, plan = self.stage, self.plan
-        self.known, self.back_at = held, stage.loop.now
-        stage.clients.tally = self.after
-        stage.clients.ways[int(DRAINED_ROUTER[1:])].taken = 0
-        self.sent_before = stage.workers.boxes[DRAINED_WORKER].asked
+        test_bed, plan = self.test_bed, self.plan
+        self.entries_before, self.power_back_at = held, test_bed.loop.now
+        test_bed.clients.tally = self.tally_after
+        test_bed.clients.routes[int(DRAINED_ROUTER[1:])].requests_sent = 0
+        self.drained_worker_attempts_before = test_bed.workers.by_name[DRAINED_WORKER].attempts_received
         if "one-class" in plan.faults:
-            stage.clients.only = max(stage.clients.lanes, key=lambda lane: stage.clients.class_of(lane).worth)
-        for hall, at in enumerate(plan.halls):
-            names = [f"w{n}" for n in range(len(FLEET)) if n % len(HALLS) == hall]
-            up = [name for name in names if name not in plan.never]
-            stage.loop.after(at, lambda up=up: self._come_on(up))  # type: ignore[misc]
-        stage.loop.after(plan.register, self._register)
-        self.agent.start_again()
-        yield lambda: any(way.healthy for way in stage.clients.ways)
+            test_bed.clients.only_lane = max(
+                test_bed.clients.lanes, key=lambda lane: test_bed.clients.class_of(lane).worth
+            )
+        for zone, at in enumerate(plan.zone_delays):
+            names = [f"w{n}" for n in range(len(ROLES)) if n % len(ZONES) == zone]
+            up = [name for name in names if name not in plan.missing_workers]
+            test_bed.loop.after(at, lambda up=up: self._workers_on(up))  # type: ignore[misc]
+        test_bed.loop.after(plan.discovery_delay, self._start_discovery)
+        self.agent.restart()
+        yield lambda: any(route.healthy for route in test_bed.clients.routes)
         self._surge()
 
-    sent_before: int = 0
+    drained_worker_attempts_before: int = 0
 
-    def _come_on(self, names: list[str]) -> None:
+    def _workers_on(self, names: list[str]) -> None:
         for name in names:
             self._worker_on(name)
 
-    def _come_back(self, names: list[str]) -> None:
+    def _restore_after_second_loss(self, names: list[str]) -> None:
         """After the second loss: what had power has it again, and no clients are added."""
         for name in names:
             self._worker_on(name)
-        if self.register_up:
-            self._open_register()
-        self.agent.start_again()
+        if self.discovery_up:
+            self._open_discovery_links()
+        self.agent.restart()
 
-    def _open_register(self) -> None:
-        for (_, name), link in self.stage.links.items():
-            if name == "register":
-                link.restore()
+    def _open_discovery_links(self) -> None:
+        for (_, name), link in self.test_bed.links.items():
+            if name == "discovery":
+                link.power_on()
 
-    def _register(self) -> None:
+    def _start_discovery(self) -> None:
         """It comes back with what it has, in one of three ways."""
-        stage, faults = self.stage, self.plan.faults
-        self.register_up = True
-        generation = 1 if {"register-empty", "register-old"} & faults else stage.register.generation
+        test_bed, faults = self.test_bed, self.plan.faults
+        self.discovery_up = True
+        generation = 1 if {"register-empty", "register-old"} & faults else test_bed.discovery.generation
         entries: dict[str, dict[str, Any]] = {}
         if "register-empty" not in faults:
-            entries = {name: dict(entry) for name, entry in self.known.items()}
+            entries = {name: dict(entry) for name, entry in self.entries_before.items()}
         if "register-old" in faults:
             for entry in entries.values():
                 entry["lifecycle"] = "up"  # from before the drain
-        stage.register.begin_anew(generation, entries)
-        self._open_register()
-        behind = max(0.0, self.plan.halls[1] - self.plan.register) + NOTICED
-        stage.loop.after(behind if "register-old" in faults else 0.0, self._catch_up)
+        test_bed.discovery.restart(generation, entries)
+        self._open_discovery_links()
+        behind = max(0.0, self.plan.zone_delays[1] - self.plan.discovery_delay) + REMOVAL_DELAY_S
+        test_bed.loop.after(behind if "register-old" in faults else 0.0, self._report_all_starts)
 
-    def _catch_up(self) -> None:
+    def _report_all_starts(self) -> None:
         """It hears of the starts there have been."""
-        self.hears = True
-        for name in self.stage.workers.boxes:
-            if name not in self.off:
-                self._tell_start(name)
+        self.discovery_current = True
+        for name in self.test_bed.workers.by_name:
+            if name not in self.powered_off:
+                self._report_start(name)
 
     def _surge(self) -> None:
         """All clients ask again within the same second, and go on for a while."""
-        clients, loop = self.stage.clients, self.stage.loop
+        clients, loop = self.test_bed.clients, self.test_bed.loop
         random = Random(f"surge {self.plan.seed}")
-        for _ in range(BURST):
-            loop.after(random.uniform(0.0, 1.0), clients.ask)
-        clients.paused, clients.rate = False, SURGE * RATE
-        loop.after(SURGE_FOR, lambda: setattr(clients, "rate", RATE))
+        for _ in range(BURST_TURNS):
+            loop.after(random.uniform(0.0, 1.0), clients.start_turn)
+        clients.paused, clients.turns_per_s = False, SURGE_FACTOR * TURNS_PER_S
+        loop.after(SURGE_S, lambda: setattr(clients, "turns_per_s", TURNS_PER_S))
 
     # ---- what came of it ----
 
     def figures(self) -> dict[str, Any]:
-        stage, tally = self.stage, self.after
-        broken = stage.rules.broken
+        test_bed, tally = self.test_bed, self.tally_after
+        broken = test_bed.rules.broken
         drains = "drain" in self.plan.faults
         told_off = sum("told off" in what for what in broken)
         # An older list may say "up" of it: the rules then know of no drain, and this does.
-        to_drained = stage.workers.boxes[DRAINED_WORKER].asked - self.sent_before if drains else 0
-        by_drained = stage.clients.ways[int(DRAINED_ROUTER[1:])].taken if drains else 0
-        top = max(stage.clients.lanes, key=lambda lane: stage.clients.class_of(lane).worth)
+        to_drained = (
+            test_bed.workers.by_name[DRAINED_WORKER].attempts_received - self.drained_worker_attempts_before
+            if drains
+            else 0
+        )
+        by_drained = test_bed.clients.routes[int(DRAINED_ROUTER[1:])].requests_sent if drains else 0
+        top = max(test_bed.clients.lanes, key=lambda lane: test_bed.clients.class_of(lane).worth)
         asked = sum(tally.asked.values()) or 1.0
-        last = int(self.back_at + self.plan.all + self.plan.after)
+        last = int(self.power_back_at + self.plan.last_return + self.plan.measured_after)
         return {
             "requests": tally.requests,
             "answered_once": tally.answered_once,
@@ -340,37 +367,37 @@
             "sends_to_gone_or_drained": told_off + to_drained,
             "taken_by_drained": by_drained,
             "duplicates_of_unsafe": sum("may not be repeated" in what for what in broken),
-            "half_s": _reached(tally.seconds, self.back_at, last, HALF),
-            "full_s": _reached(tally.seconds, self.back_at, last, FULL),
+            "half_s": _time_to_share(tally.seconds, self.power_back_at, last, HALF_SHARE),
+            "full_s": _time_to_share(tally.seconds, self.power_back_at, last, FULL_SHARE),
             "worth": round(sum(tally.answered.values()) / asked, 4),
             "top_class": round(tally.in_time.get(top, 0.0) / (tally.asked.get(top) or 1.0), 4),
-            "unread": tally.unread,
-            "faults": len(self.failed),
+            "unread": tally.unanswered_on_new,
+            "faults": len(self.failed_orders),
         }
 
     def close(self) -> None:
-        self.agent.cut_power(self.pids) if not self.agent.running else self.agent.close()
-        self.stage.close()
+        self.agent.kill_all(self.pids) if not self.agent.running else self.agent.close()
+        self.test_bed.close()
 
 
-def _reached(
+def _time_to_share(
     seconds: dict[tuple[int, str], list[float]], begin: float, last: int, part: float
 ) -> float | None:
     """s from the return of power until that part of the worth asked for is answered, and stays so."""
 
     def answered(at: int) -> float:
-        window = [one for (second, _), one in seconds.items() if at <= second < at + WINDOW]
+        window = [one for (second, _), one in seconds.items() if at <= second < at + WINDOW_S]
         return sum(one[1] for one in window) / max(1e-9, sum(one[0] for one in window))
 
     first = int(begin)
-    found = (s for s in range(first, last) if min(answered(s), answered(s + WINDOW)) >= part)
+    found = (s for s in range(first, last) if min(answered(s), answered(s + WINDOW_S)) >= part)
     return next((round(s - begin, 1) for s in found), None)
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
     figures: dict[str, Any]
-    told: tuple[str, ...]
+    log_lines: tuple[str, ...]
 
     @property
     def holds(self) -> bool:
@@ -386,26 +413,26 @@
         )
 
 
-def play(plan: Plan, with_it: bool) -> tuple[dict[str, Any], list[str]]:
+def play(plan: Plan, with_recovery: bool) -> tuple[dict[str, Any], list[str]]:
     """One run, and what its routers and checkers said."""
     with tempfile.TemporaryDirectory(prefix="yewhook-power-") as folder:
-        loss = Loss(plan, Path(folder), with_it)
-        script, loop = Play(loss.stage.loop), loss.stage.loop
-        end = loop.now + MOST
+        run = PowerLossRun(plan, Path(folder), with_recovery)
+        runner, loop = ScriptRunner(run.test_bed.loop), run.test_bed.loop
+        end = loop.now + MAX_RUN_S
         try:
-            script.start(loss.script())
-            while script.running and loop.now < end:
-                loss.stage.run(loop.now + 0.1)
-            told = [*loss.stage.rules.broken, *loss.failed]
-            told += [line for line in loss.agent.said if any(word in line for word in SHOWN)]
-            return loss.figures(), told
+            runner.start(run.script())
+            while runner.running and loop.now < end:
+                run.test_bed.run(loop.now + 0.1)
+            told = [*run.test_bed.rules.broken, *run.failed_orders]
+            told += [line for line in run.agent.log_lines if any(word in line for word in SHOWN_EVENTS)]
+            return run.figures(), told
         finally:
-            loss.close()
+            run.close()
 
 
-SHOWN = ("recovery phase", "restart judged", "snapshot", "recalled", "register began", "workers gone",
+SHOWN_EVENTS = ("recovery phase", "restart judged", "snapshot", "recalled", "register began", "workers gone",
          "wanted state", "turn failed", "levels failed", "handler failed")  # fmt: skip
-SAME = ("half_s", "full_s", "worth", "top_class")
+COMPARED_FIGURES = ("half_s", "full_s", "worth", "top_class")
 
 
 def experiment(
@@ -414,11 +441,11 @@
     """With the recovery and without it."""
     plan = draw(seed, faults)
     began = time.monotonic()
-    say(f"faults {', '.join(sorted(plan.faults))}; halls after {[round(h, 1) for h in plan.halls]} s, "
-        f"the register after {plan.register:.1f} s")  # fmt: skip
+    say(f"faults {', '.join(sorted(plan.faults))}; halls after {[round(h, 1) for h in plan.zone_delays]} s, "
+        f"the register after {plan.discovery_delay:.1f} s")  # fmt: skip
     ours, told = play(plan, True)
     theirs, _ = play(plan, False)
     figures = {"processes": 2 * ROUTERS + 2} | ours
-    figures |= {f"{name}_without": theirs[name] for name in SAME}
+    figures |= {f"{name}_without": theirs[name] for name in COMPARED_FIGURES}
     figures["took_s"] = round(time.monotonic() - began, 1)
     return Result(figures, tuple(told))
--- a/yewlab/processes/soak.py
+++ b/yewlab/processes/soak.py
@@ -17,19 +17,19 @@
 
 from hopshed.interface import Role
 
-from .host import Process
-from .net import ClientSide
-from .operate import FAULTS, Operators, Play, Waits
-from .stage import OFFSET, TOLD_WITHIN, Stage
-
-SETTLES, PAUSE = 1.0, (0.5, 2.0)  # s before the script, and between its faults
-PAIR_APART = (0.0, 1.5)  # s between the begins of two faults at once
-HANGS_FOR, SILENT_FOR, HELD_UP_FOR = (3.0, 5.0), (1.0, 3.0), (0.05, 0.15)  # s
-IDLE_CLIENTS, CROWD_SEEDS = 300, 5  # connections of a crowd; one seed in so many has one
+from .http_connections import ClientConnection
+from .instances import Process
+from .operate import FAULT_EVENTS, Operators, Script, ScriptRunner
+from .testbed import NOTIFIED_WITHIN_S, UNIX_OFFSET_S, ProcessTestBed
+
+SETTLE_S, PAUSE_S = 1.0, (0.5, 2.0)  # s before the script, and between its faults
+PAIR_OFFSET_S = (0.0, 1.5)  # s between the begins of two faults at once
+HANG_S, ISOLATION_S, SUSPENSION_S = (3.0, 5.0), (1.0, 3.0), (0.05, 0.15)  # s
+IDLE_CONNECTIONS, IDLE_CONNECTION_SEEDS = 300, 5  # connections of a crowd; one seed in so many has one
 # Entries of the list for each server, and one seed in so many (those that leave this rest) with such a list.
 MANY_ENTRIES, LONG_LIST_SEEDS, LONG_LIST_REST = 300, 4, 3
 PAIR_SEEDS, PAIR_REST = 3, 2  # one seed in so many, those that leave this rest, plays two faults at once
-SHIM = Path(__file__).parent / "shim"
+SHIM_FOLDER = Path(__file__).parent / "shim"
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     """What came of one seed."""
 
     seed: int
-    story: tuple[str, ...]
+    timeline: tuple[str, ...]
     broken: tuple[str, ...]  # rules, with the times and requests
     requests: int
     served: int
@@ -50,7 +50,7 @@
 
 
 class Soak:
-    """One seed's stage and script."""
+    """One seed's test_bed and script."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.random = Random(f"soak {seed}")
@@ -63,8 +63,8 @@
         self.long_list = seed % LONG_LIST_SEEDS == LONG_LIST_REST
         environment: dict[str, str] = {}
         if self.random.random() < 0.5:
-            environment = {"PYTHONPATH": str(SHIM), "YEWLAB_FAULTS": str(seed)}
-        self.stage = Stage(
+            environment = {"PYTHONPATH": str(SHIM_FOLDER), "YEWLAB_FAULTS": str(seed)}
+        self.test_bed = ProcessTestBed(
             folder,
             self.random.randint(2, 4),
             seed,
@@ -73,146 +73,148 @@
             3,
             extra=extra,
             environment=environment,
-            entries=MANY_ENTRIES if self.long_list else 1,
+            entries_per_worker=MANY_ENTRIES if self.long_list else 1,
         )
-        self.loop, self.operators = self.stage.loop, Operators(self.stage)
-        self.crowd: list[ClientSide] = []
-        self.with_crowd = seed % CROWD_SEEDS == 0
+        self.loop, self.operators = self.test_bed.loop, Operators(self.test_bed)
+        self.idle_connections: list[ClientConnection] = []
+        self.with_idle_connections = seed % IDLE_CONNECTION_SEEDS == 0
         self.in_pairs = seed % PAIR_SEEDS == PAIR_REST
-        self.player = Play(self.loop)
+        self.runner = ScriptRunner(self.loop)
 
-    def script(self, count: int) -> Waits:
+    def script(self, count: int) -> Script:
         """Start all instances, play so many faults, and let what was taken end."""
-        stage = self.stage
-        for instance in stage.instances:
-            instance.start()
-        yield lambda: all(way.healthy for way in stage.clients.ways)
-        stage.clients.begin()
-        yield SETTLES
-        if self.with_crowd:
-            self.gather()
+        test_bed = self.test_bed
+        for instance in test_bed.instances:
+            instance.start_process()
+        yield lambda: all(route.healthy for route in test_bed.clients.routes)
+        test_bed.clients.start()
+        yield SETTLE_S
+        if self.with_idle_connections:
+            self.open_idle_connections()
         for _ in range(count):
             yield from self.pair() if self.in_pairs else self.fault(self.random.choice(FAULT_KINDS))
-            yield self.random.uniform(*PAUSE)
-        stage.clients.stopped = True
-        yield lambda: not stage.clients.open
+            yield self.random.uniform(*PAUSE_S)
+        test_bed.clients.stopped = True
+        yield lambda: not test_bed.clients.open_requests
 
-    def fault(self, kind: Fault) -> Waits:
+    def fault(self, kind: Fault) -> Script:
         """One fault, from its begin to its end."""
-        self.tell(kind.__name__)
+        self.record(kind.__name__)
         yield from kind(self)
 
-    def pair(self) -> Waits:
+    def pair(self) -> Script:
         """Two faults at once."""
         first, second = self.random.sample(FAULT_KINDS, 2)
         over: list[Fault] = []
 
-        def beside() -> Waits:
-            yield self.random.uniform(*PAIR_APART)
+        def beside() -> Script:
+            yield self.random.uniform(*PAIR_OFFSET_S)
             yield from self.fault(second)
             over.append(second)
 
         if second is not first:
-            self.player.start(beside())
+            self.runner.start(beside())
         yield from self.fault(first)
         yield lambda: bool(over) or second is first
 
-    def tell(self, what: str) -> None:
-        self.operators.story.append(f"{self.loop.now - self.operators.began:6.2f} {what}")
+    def record(self, what: str) -> None:
+        self.operators.timeline.append(f"{self.loop.now - self.operators.started_at:6.2f} {what}")
 
-    def most(self, names: list[str]) -> list[str]:
+    def most_of(self, names: list[str]) -> list[str]:
         """All of a role but one or two."""
         return self.random.sample(names, len(names) - self.random.randint(1, 2))
 
-    def gather(self) -> None:
+    def open_idle_connections(self) -> None:
         """Idle clients, spread over the instances."""
-        for number in range(IDLE_CLIENTS):
-            instance = self.stage.instances[number % len(self.stage.instances)]
-            self.crowd.append(ClientSide(self.loop, instance.address))
+        for number in range(IDLE_CONNECTIONS):
+            instance = self.test_bed.instances[number % len(self.test_bed.instances)]
+            self.idle_connections.append(ClientConnection(self.loop, instance.address))
 
     # ---- faults ----
 
-    def writers_hang(self) -> Waits:
+    def writers_hang(self) -> Script:
         """Most writers read, write and accept nothing; their connections stay open."""
-        yield from self._hang(self.most(self.writers))
+        yield from self._hang(self.most_of(self.writers))
 
-    def some_hang(self) -> Waits:
+    def some_hang(self) -> Script:
         """A few servers of any role hang."""
         yield from self._hang(self.random.sample(self.readers + self.writers, 2))
 
-    def _hang(self, names: list[str]) -> Waits:
-        self.stage.hang(names)
-        yield self.random.uniform(*HANGS_FOR)
-        self.stage.wake(names)
+    def _hang(self, names: list[str]) -> Script:
+        self.test_bed.hang_workers(names)
+        yield self.random.uniform(*HANG_S)
+        self.test_bed.resume_workers(names)
 
-    def cut_off(self) -> Waits:
+    def cut_off(self) -> Script:
         """Most writers are cut off: connections break, and new ones do not come up."""
-        links = self.stage.links_to(self.most(self.writers))
+        links = self.test_bed.links_to(self.most_of(self.writers))
         for link in links:
-            link.cut_off()
-        yield self.random.uniform(*SILENT_FOR)
+            link.isolate()
+        yield self.random.uniform(*ISOLATION_S)
         for link in links:
             link.reconnect()
 
-    def broken_connections(self) -> Waits:
+    def broken_connections(self) -> Script:
         """What is open to some servers is reset, with requests on the way."""
-        for link in self.stage.links_to(self.random.sample(self.readers + self.writers, 3)):
-            link.reset()
+        for link in self.test_bed.links_to(self.random.sample(self.readers + self.writers, 3)):
+            link.reset_connections()
         yield 0.1
 
-    def watches_end(self) -> Waits:
+    def watches_end(self) -> Script:
         """The watches on the list fall silent or break, and then a server begins to drain."""
-        faces = self.stage.register.faces
+        endpoints = self.test_bed.discovery.endpoints
         silent = self.random.random() < 0.5
-        for face in faces:
-            face.forget_watches() if silent else face.lose_watches()
+        for endpoint in endpoints:
+            endpoint.silence_watches() if silent else endpoint.abort_watches()
         name = self.random.choice(self.writers)
-        self.stage.change(name, lifecycle="draining")
-        yield TOLD_WITHIN + 1.0
-        self.stage.change(name, lifecycle="up")
+        self.test_bed.change_entry(name, lifecycle="draining")
+        yield NOTIFIED_WITHIN_S + 1.0
+        self.test_bed.change_entry(name, lifecycle="up")
 
-    def cold_start(self) -> Waits:
+    def cold_start(self) -> Script:
         """A server's process ends, and a new one is there at once, cold."""
         name = self.random.choice(self.readers + self.writers)
-        worker = self.stage.workers.boxes[name]
-        worker.die()
+        worker = self.test_bed.workers.by_name[name]
+        worker.restart()
         if not self.long_list:  # else what hundreds of cold servers may get would come to this one
-            worker.cool()
-        self.stage.change(name, lifecycle="up", startedAtMs=round((self.loop.now + OFFSET) * 1000.0))
+            worker.begin_slow_start()
+        self.test_bed.change_entry(
+            name, lifecycle="up", startedAtMs=round((self.loop.now + UNIX_OFFSET_S) * 1000.0)
+        )
         yield 1.0
 
-    def restarts(self) -> Waits:
+    def restarts(self) -> Script:
         """The instances restart one after another, some told twice; clients write on what is open."""
-        for instance in self.stage.instances:
-            old: Process = instance.serving
-            instance.end(old)
+        for instance in self.test_bed.instances:
+            old: Process = instance.serving_process
+            instance.terminate(old)
             if self.random.random() < 0.5:
                 yield self.random.uniform(0.05, 0.5)
-                old.signal(signal.SIGTERM)
-            new = instance.start()
-            yield from self.operators.yes(instance, new)
+                old.send_signal(signal.SIGTERM)
+            new = instance.start_process()
+            yield from self.operators.wait_ready(instance, new)
             yield lambda old=old: not old.running  # type: ignore[misc]
 
-    def reloads(self) -> Waits:
+    def reloads(self) -> Script:
         """Each instance reads its configuration anew, several times in a row."""
-        for instance in self.stage.instances:
+        for instance in self.test_bed.instances:
             for _ in range(3):
-                instance.serving.signal(signal.SIGHUP)
+                instance.serving_process.send_signal(signal.SIGHUP)
         yield 0.5
 
-    def held_up(self) -> Waits:
+    def held_up(self) -> Script:
         """The instances get no time on their cores for a moment, several times."""
         for _ in range(5):
-            running = [instance.serving for instance in self.stage.instances]
+            running = [instance.serving_process for instance in self.test_bed.instances]
             for process in running:
-                process.signal(signal.SIGSTOP)
-            yield self.random.uniform(*HELD_UP_FOR)
+                process.send_signal(signal.SIGSTOP)
+            yield self.random.uniform(*SUSPENSION_S)
             for process in running:
-                process.signal(signal.SIGCONT)
+                process.send_signal(signal.SIGCONT)
             yield self.random.uniform(0.1, 0.4)
 
 
-Fault = Callable[[Soak], Waits]
+Fault = Callable[[Soak], Script]
 FAULT_KINDS: list[Fault] = [
     Soak.writers_hang, Soak.writers_hang, Soak.some_hang, Soak.cut_off, Soak.broken_connections,
     Soak.watches_end, Soak.cold_start, Soak.restarts, Soak.reloads, Soak.held_up,
@@ -224,27 +226,32 @@
     with tempfile.TemporaryDirectory(prefix="yewhook-soak-") as folder:
         soak = Soak(Path(folder), seed)
         try:
-            return _played(soak, seed, count, most)
+            return _run(soak, seed, count, most)
         finally:
-            for side in soak.crowd:
+            for side in soak.idle_connections:
                 side.close()
-            soak.stage.close()
+            soak.test_bed.close()
 
 
-def _played(soak: Soak, seed: int, count: int, most: float) -> Result:
-    stage, tally = soak.stage, soak.stage.clients.tally
-    soak.operators.begin()
-    done = soak.player.whole(stage, soak.script(count), most)
-    processes = [process for instance in stage.instances for process in instance.processes]
+def _run(soak: Soak, seed: int, count: int, most: float) -> Result:
+    test_bed, tally = soak.test_bed, soak.test_bed.clients.tally
+    soak.operators.start_clock()
+    done = soak.runner.run(test_bed, soak.script(count), most)
+    processes = [process for instance in test_bed.instances for process in instance.processes]
     faults = [
-        f"{fault} in {process.log.name}" for process in processes for fault in FAULTS if process.said(fault)
+        f"{fault} in {process.log_path.name}"
+        for process in processes
+        for fault in FAULT_EVENTS
+        if process.count_log_lines(fault)
     ]
-    ended = [] if done else [f"not over after {most:.0f} s, {stage.clients.open} requests open"]
-    unanswered = tally.requests - tally.answered_once - (tally.unread if soak.with_crowd else 0)
+    ended = [] if done else [f"not over after {most:.0f} s, {test_bed.clients.open_requests} requests open"]
+    unanswered = (
+        tally.requests - tally.answered_once - (tally.unanswered_on_new if soak.with_idle_connections else 0)
+    )
     return Result(
         seed,
-        tuple(soak.operators.story),
-        (*stage.rules.broken, *faults, *ended),
+        tuple(soak.operators.timeline),
+        (*test_bed.rules.broken, *faults, *ended),
         tally.requests,
         tally.served,
         unanswered,
--- /dev/null
+++ b/yewlab/processes/testbed.py
@@ -0,0 +1,176 @@
+"""Puts a stage together: instances of the program, and all that they meet."""
+
+from __future__ import annotations
+
+import json
+import time
+from collections.abc import Sequence
+from dataclasses import replace
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from hopshed.interface import Role
+from yewhook.config import parse_settings
+from yewhook.log import Log
+from yewhook.loop import Loop
+from yewlab import site
+from yewlab.rules import Rules
+
+from .clients import REFUSAL_SETTLE_S, Clients
+from .discovery import Discovery, DiscoveryEndpoint
+from .instances import ROOT, Instance
+from .links import PeerNetwork, TcpLink
+from .workers import Workers
+
+ZONES = ("hall-a", "hall-b", "hall-c")
+MACHINE_TYPES = {Role.READER: "prefill", Role.WRITER: "decode", Role.MIXED: "mixed"}
+DEFAULT_ROLES = (Role.READER, Role.READER, Role.READER, Role.WRITER, Role.WRITER, Role.WRITER, Role.MIXED)
+ANSWER_TOKENS = (
+    30.0,
+    120.0,
+)  # tokens, some 1 to 3 s: short enough that what was taken ends within a test's time
+COPY_INFIX = "-copy-"  # between a worker's name and the number of a further entry for it
+NOTIFIED_WITHIN_S = 6.0  # s after which a change counts as told, whatever became of the watch
+QUOTA_PER_S = 1e6  # turns a second: nobody is beyond a share
+UNIX_OFFSET_S = time.time() - time.monotonic()  # Unix time less the loop's
+
+
+class ProcessTestBed:
+    """Everything but the script: what may happen to it is the caller's."""
+
+    def __init__(
+        self,
+        folder: Path,
+        instances: int,
+        seed: int,
+        rate: float,
+        roles: tuple[Role, ...] = DEFAULT_ROLES,
+        zones: int = 1,
+        contract: dict[str, float] | None = None,
+        extra: dict[str, float] | None = None,
+        environment: dict[str, str] | None = None,
+        entries_per_worker: int = 1,
+    ) -> None:
+        """`fleet` = the workers' roles; they stand in so many halls in turn.
+
+        `contract` and `extra` = figures of the rules in place of the settings'. `environment` = of the
+        processes, beside this one's. `entries` = servers that the list names for each worker, all of them at
+        its address: a list of thousands, and what is asked of them comes to a few.
+        """
+        self.loop, self._environment, self._entries_per_worker = (
+            Loop(Log("stage")),
+            environment or {},
+            entries_per_worker,
+        )
+        self.random = Random(f"stage {seed}")
+        env = json.loads((ROOT / "deploy" / "settings.json").read_text())
+        env["instances"], env["caps"]["may-tell"] = instances, True
+        env["contract"] |= contract or {}
+        env["extra"] |= extra or {}
+        env["customers"] = [one | {"quota-per-s": QUOTA_PER_S} for one in env["customers"]]
+        settings, names = parse_settings(env)
+        traffic = (replace(one, answer=ANSWER_TOKENS) for one in site.TRAFFIC)
+        lanes = dict(zip(names.classes, traffic, strict=True))
+        self.rules = Rules(settings, REFUSAL_SETTLE_S)
+        self.workers = Workers(self.loop, self.rules, lanes)
+        self.discovery = Discovery(self.loop, self._note_notified)
+        self.peer_network = PeerNetwork(self.loop, instances)
+        self.links: dict[tuple[int, str], TcpLink] = {}  # between an instance and a worker, or the register
+        self.discovery_endpoints = [self._add_discovery_endpoint(number) for number in range(instances)]
+        for number, role in enumerate(roles):
+            self._add_worker(f"w{number}", role, instances, ZONES[number % zones])
+        self.instances = [self._make_instance(number, folder, env) for number in range(instances)]
+        self.clients = Clients(
+            self.loop, self.rules, settings, lanes, names.tenants, self.instances, rate, self.random
+        )
+
+    def _add_discovery_endpoint(self, number: int) -> DiscoveryEndpoint:
+        def worker_address(name: str) -> str:
+            host, port = self.links[number, name.partition(COPY_INFIX)[0]].address
+            return f"{host}:{port}"
+
+        endpoint = self.discovery.add_endpoint(number, worker_address)
+        self.links[number, "discovery"] = TcpLink(self.loop, lambda: endpoint.address)
+        return endpoint
+
+    def _add_worker(self, name: str, role: Role, instances: int, zone: str) -> None:
+        worker = self.workers.add(name, site.ENGINES[role], instances)
+        for number in range(instances):
+            self.links[number, name] = TcpLink(self.loop, lambda number=number: worker.address(number))  # type: ignore[misc]
+        entry = {"zone": zone, "cell": 1, "machineType": MACHINE_TYPES[role], "weight": 1.0, "startedAtMs": 0}
+        self.discovery.put(name, lifecycle="up", **entry)
+        for copy in range(1, self._entries_per_worker):
+            self.discovery.put(f"{name}{COPY_INFIX}{copy}", lifecycle="up", **entry)
+
+    def _make_instance(self, number: int, folder: Path, env: dict[str, Any]) -> Instance:
+        config = {
+            "name": f"n{number}",
+            "listen": "127.0.0.1:0",
+            "discovery": _host_port(self.links[number, "discovery"].address),
+            "limits": {"cores": 1.0, "memory_mb": 112, "sockets": 384},
+            "peer_listen": _host_port(self.peer_network.listen_addresses[number]),
+            "peers": [_host_port(peer) for peer in self.peer_network.peers(number)],
+            "peers_all": _host_port(self.peer_network.broadcast_address(number)),
+            "known": self.discovery_endpoints[number].full_list(),
+            "settings": env,
+        }
+        return Instance(self.loop, number, folder / f"n{number}", config, self._environment)
+
+    def _note_notified(self, instance: int, server: int, runs: bool, started: float | None) -> None:
+        self.rules.told(instance, server, runs, self.loop.now)
+        self.rules.started(instance, server, None if started is None else started - UNIX_OFFSET_S)
+
+    def change_entry(self, name: str, **entry: Any) -> None:
+        """Change a server's entries of the list; who has not heard of it in time counts as told."""
+        for listed in [
+            listed for listed in self.discovery.entries if listed.partition(COPY_INFIX)[0] == name
+        ]:
+            self.discovery.put(listed, **entry)
+        number, runs = self.workers.by_name[name].server_id, entry["lifecycle"] == "up"
+        started = float(entry.get("startedAtMs") or 0.0) / 1000.0 or None
+
+        def notify() -> None:
+            for instance in self.instances:
+                self.discovery.on_notified(instance.number, number, runs, started)
+
+        self.loop.after(NOTIFIED_WITHIN_S, notify)
+
+    def hang_workers(self, names: Sequence[str]) -> None:
+        """These servers read, write, accept and do nothing; their connections stay open."""
+        for name in names:
+            self.workers.by_name[name].hung = True
+        for link in self.links_to(names):
+            link.hang()
+
+    def resume_workers(self, names: Sequence[str]) -> None:
+        """They go on."""
+        for link in self.links_to(names):
+            link.resume()
+        for name in names:
+            self.workers.by_name[name].hung = False
+
+    def links_to(self, names: Sequence[str]) -> list[TcpLink]:
+        """The links of all instances to these servers."""
+        return [link for (_, name), link in self.links.items() if name in names]
+
+    def run(self, until: float) -> None:
+        """Turn the loop up to a moment of its clock, or until it is stopped."""
+        while self.loop.now < until and not self.loop.stopped:
+            while self.loop.run_turn(0.02):
+                pass
+
+    def close(self) -> None:
+        """End all that was started, by its id, and close all that was opened."""
+        self.clients.close()
+        for instance in self.instances:
+            instance.close()
+        for link in self.links.values():
+            link.close()
+        self.workers.close()
+        self.discovery.close()
+        self.peer_network.close()
+
+
+def _host_port(address: tuple[str, int]) -> str:
+    return f"{address[0]}:{address[1]}"
