--- a/yewlab/processes/operate.py
+++ b/yewlab/processes/operate.py
@@ -191,9 +191,9 @@
 
     def wait_ready(self, instance: Instance, new: Process) -> Script:
         """Wait until a new process is ready or the time for that is over."""
-        statuses: list[bool] = []
-        instance.when_ready(new, READY_WITHIN_S, statuses.append)
-        yield lambda: bool(statuses)
+        results: list[bool] = []
+        instance.when_ready(new, READY_WITHIN_S, results.append)
+        yield lambda: bool(results)
 
     def _finish_on_new(self, instance: Instance, old: Process, new: Process) -> Script:
         """Complete an upgrade: wait for the new process, end the old one, check that the new one serves."""
@@ -249,9 +249,8 @@
             number = max((int(p.stem) for p in handover_folder.glob("*.process")), default=0)
             path = handover_folder / f"{number}.handover"
             if number and not damaged and not path.exists():
-                path.write_bytes(
-                    b"yewhook-handover 1 5 00000000\nxxxxx"
-                )  # before the old process writes the file
+                # Before the old process writes its own file.
+                path.write_bytes(b"yewhook-handover 1 5 00000000\nxxxxx")
                 damaged.append(True)
             return bool(damaged) or not new.running
 
@@ -266,9 +265,8 @@
         handover_folder = instance.folder / "tmp" / f"yewhook-n{instance.number}"
         number = max(int(path.stem) for path in handover_folder.glob("*.process"))
         for later in range(number + 1, number + 4):
-            (handover_folder / f"part-{number}-{later}").mkdir(
-                exist_ok=True
-            )  # a directory, so that no file can be written under this name
+            # A directory keeps the process from writing a file under this name.
+            (handover_folder / f"part-{number}-{later}").mkdir(exist_ok=True)
         yield from self._finish_on_new(
             instance, *self._start_upgrade(instance, "hand-over file cannot be written")
         )
--- a/yewlab/processes/power.py
+++ b/yewlab/processes/power.py
@@ -48,7 +48,16 @@
 HALF_SHARE = 0.5
 FULL_SHARE = 0.9
 WINDOW_S = 3
+# How discovery returns: with its list, with an empty one, or with an old one in which nothing drains.
 DISCOVERY_FAULTS = ("register-late", "register-empty", "register-old")
+# second-loss: the power fails again during the return.
+# cut-snapshot: the next snapshot of each router is written in part.
+# stale-snapshot: the snapshot of one router is an hour old.
+# clock: discovery's clock is 2 seconds off, and the snapshot of one router is two hours in the future.
+# parted: no datagrams pass between two halves of the routers.
+# alone: the snapshot of one router has the present boot id.
+# new-ids: two workers return under new ids.
+# one-class: after the loss, all turns are in the lane with the greatest worth.
 OTHER_FAULTS = (
     "second-loss",
     "cut-snapshot",
@@ -59,8 +68,9 @@
     "new-ids",
     "one-class",
 )
-PERMANENT_FAULTS = ("never", "drain")
-FAULTS = (*PERMANENT_FAULTS, *DISCOVERY_FAULTS, *OTHER_FAULTS)
+# never: some workers do not return. drain: a router and a worker are drained before the loss.
+FAULTS_OF_EVERY_SEED = ("never", "drain")
+FAULTS = (*FAULTS_OF_EVERY_SEED, *DISCOVERY_FAULTS, *OTHER_FAULTS)
 DRAINED_ROUTER = "n5"
 DRAINED_WORKER = "w7"
 AGENT_SETTINGS = 'state = "state"\nat_a_time = 2\n'
@@ -95,7 +105,7 @@
 def draw(seed: int, asked: tuple[str, ...] = ()) -> Plan:
     """Draw the plan of a seed; `asked` replaces the drawn faults."""
     random = Random(f"power {seed}")
-    drawn = {*PERMANENT_FAULTS, random.choice(DISCOVERY_FAULTS), *random.sample(OTHER_FAULTS, 2)}
+    drawn = {*FAULTS_OF_EVERY_SEED, random.choice(DISCOVERY_FAULTS), *random.sample(OTHER_FAULTS, 2)}
     first, second = 0.0, random.uniform(*ZONE_INTERVAL_S)
     zone_delays = [first, second, second + random.uniform(*ZONE_INTERVAL_S)]
     discovery_delay = random.uniform(*DISCOVERY_DELAY_S)
--- a/yewlab/processes/testbed.py
+++ b/yewlab/processes/testbed.py
@@ -123,9 +123,7 @@
 
         After NOTIFIED_WITHIN_S the rules hold all instances to the change, even if a watch has failed.
         """
-        for listed in [
-            listed for listed in self.discovery.entries if listed.partition(COPY_INFIX)[0] == name
-        ]:
+        for listed in [one for one in self.discovery.entries if one.partition(COPY_INFIX)[0] == name]:
             self.discovery.put(listed, **entry)
         number, runs = self.workers.by_name[name].server_id, entry["lifecycle"] == "up"
         started = float(entry.get("startedAtMs") or 0.0) / 1000.0 or None
--- a/yewlab/processes/workers.py
+++ b/yewlab/processes/workers.py
@@ -76,7 +76,7 @@
         self.workers, self.name, self.server_id = workers, name, server_id(name)
         self.server = Server(workers.clock, engine)
         self.attempts_received = 0
-        self.hung = False  # no job makes progress; the links to it keep it from reading and writing
+        self.hung = False  # it completes no job; that it reads and writes nothing is up to its links
         # Its answers are lost on the way: a read counts as out until its router closes the connection.
         self.answers_lost = False
         self._attempts: dict[ServerConnection, Attempt] = {}
