--- a/yewlab/processes/operate.py
+++ b/yewlab/processes/operate.py
@@ -1,4 +1,4 @@
-"""Daily operation with faults: drains, resumes and upgrades of routers under load, drawn by a seed."""
+"""Daily operation with faults: drains, resumes and upgrades of routers under load, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -11,73 +11,91 @@
 
 from yewhook.loop import Loop
 
-from .clients import Way
-from .host import Bounded, Instance, Process
-from .net import ClientSide
-from .stage import Stage
+from .clients import Route
+from .http_connections import ClientConnection
+from .instances import Instance, Process, TimedCall
+from .testbed import ProcessTestBed
 
-ROUTERS, RATE = 4, 20.0  # instances, and turns a second over all of them
-SETTLED, YES_WITHIN, OVER_WITHIN = 1.0, 6.0, 14.0  # s until the script, for a yes, for what is left to end
-HELD_AFTER, RECENT = 4.0, 2.0  # s after a drain at which nothing of a client's is held idle, or that recent
-RESUMED_WITHIN = 2.0  # s after a drain's end until the front has its yes
-DRAINING_MOST = 2  # instances at once
-MOST = 105.0  # s that an experiment may take
-CALLERS = 40  # connections with half a call that are held beside the calls
+ROUTERS = 4
+TURNS_PER_S = 20.0  # over all routers
+SETTLE_S = 1.0  # load before the first operation
+READY_WITHIN_S = 6.0  # limit for a new process
+FINISH_WITHIN_S = 14.0  # limit for the requests that are open at the end
+# This long after a drain, no client connection may be idle or have a request younger than RECENT_S.
+DRAIN_CHECK_AFTER_S = 4.0
+RECENT_S = 2.0
+RESUME_WITHIN_S = 2.0  # limit from a resume until the health check passes
+MAX_DRAINING = 2  # instances at once
+MAX_RUN_S = 105.0
+INCOMPLETE_CALLS = 40  # connections with an incomplete request, held open beside the operators' calls
 
-Waits = Iterator[float | Callable[[], bool]]  # s to wait, or what to wait for
+# A script yields the seconds to wait, or a condition to wait for.
+Script = Iterator[float | Callable[[], bool]]
 
 
 @dataclass(slots=True)
-class Count:
-    door_calls: int = 0
-    door_late: int = 0
-    door_wrong: int = 0
+class OperatorCounts:
+    """What the operators did and found."""
+
+    mgmt_calls: int = 0
+    mgmt_timeouts: int = 0
+    mgmt_wrong_status: int = 0
     drains: int = 0
-    held: int = 0
-    late_yes: int = 0
+    drain_violations: int = 0
+    late_ready: int = 0
     upgrades: int = 0
-    ended_well: int = 0
-    kept_old: int = 0
+    upgrades_completed: int = 0
+    upgrades_kept_old: int = 0
 
 
 @dataclass(slots=True)
 class Result:
+    """The figures of one experiment, broken rules and faults, and what happened when."""
+
     figures: dict[str, int]
     broken: list[str]
-    story: list[str] = field(default_factory=list)
+    timeline: list[str] = field(default_factory=list)
 
     @property
     def holds(self) -> bool:
-        f = self.figures
+        """Whether nothing was lost and every kind of operation took place."""
+        figures = self.figures
         none = ("door_late", "door_wrong", "held_4s_after_drain", "late_yes", "unread_connections",
                 "duplicates_of_unsafe", "rules_broken", "faults")  # fmt: skip
         return (
-            not any(f[name] for name in none)
-            and f["requests"] == f["answered_once"] + f["lost_with_their_process"]
-            and f["upgrades"] == f["upgrades_ended_well"] + f["upgrades_kept_old"]
-            and min(f["upgrades_ended_well"], f["upgrades_kept_old"], f["drains"], f["answered_once"]) > 0
+            not any(figures[name] for name in none)
+            and figures["requests"] == figures["answered_once"] + figures["lost_with_their_process"]
+            and figures["upgrades"] == figures["upgrades_ended_well"] + figures["upgrades_kept_old"]
+            and min(
+                figures["upgrades_ended_well"],
+                figures["upgrades_kept_old"],
+                figures["drains"],
+                figures["answered_once"],
+            )
+            > 0
         )
 
 
-class Play:
-    """Runs scripts side by side: each is a generator that yields what it waits for."""
+class ScriptRunner:
+    """Runs scripts concurrently on the event loop."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop, self.running = loop, 0
 
-    def start(self, script: Waits) -> None:
+    def start(self, script: Script) -> None:
+        """Start a script."""
         self.running += 1
-        self._next(script)
+        self._step(script)
 
-    def whole(self, stage: Stage, script: Waits, most: float) -> bool:
-        """Run one script on a stage to its end; whether that came within so many s."""
+    def run(self, test_bed: ProcessTestBed, script: Script, most: float) -> bool:
+        """Run one script to its end, for `most` seconds at the longest; return whether it ended."""
         end = self._loop.now + most
         self.start(script)
         while self.running and self._loop.now < end:
-            stage.run(self._loop.now + 0.05)
+            test_bed.run(self._loop.now + 0.05)
         return not self.running
 
-    def _next(self, script: Waits) -> None:
+    def _step(self, script: Script) -> None:
         try:
             wait = next(script)
         except StopIteration:
@@ -86,306 +104,345 @@
         if callable(wait):
             self._poll(script, wait)
         else:
-            self._loop.after(wait, lambda: self._next(script))
+            self._loop.after(wait, lambda: self._step(script))
 
-    def _poll(self, script: Waits, true: Callable[[], bool]) -> None:
-        if true():
-            return self._next(script)
-        return self._loop.after(0.02, lambda: self._poll(script, true))
+    def _poll(self, script: Script, condition: Callable[[], bool]) -> None:
+        if condition():
+            return self._step(script)
+        return self._loop.after(0.02, lambda: self._poll(script, condition))
 
 
 class Operators:
-    """What operators do to the instances of a stage, and what they find."""
+    """The operators of a test bed: scripts for drains and upgrades, with counts of what they found."""
 
-    def __init__(self, stage: Stage) -> None:
-        self.stage, self.loop, self.count = stage, stage.loop, Count()
-        self.story: list[str] = []
+    def __init__(self, test_bed: ProcessTestBed) -> None:
+        self.test_bed, self.loop, self.counts = test_bed, test_bed.loop, OperatorCounts()
+        self.timeline: list[str] = []
         self._draining = 0
 
-    def tell(self, instance: Instance, what: str) -> None:
-        self.story.append(f"{self.loop.now - self.began:6.2f} n{instance.number} {what}")
-
-    def begin(self) -> None:
-        self.began = self.loop.now
-
-    # ---- calls ----
-
-    def call(self, process: Process, method: str, path: str, wanted: int) -> Waits:
-        """One call, and the wait for its answer."""
-        heard: list[int] = []
-        self.count.door_calls += 1
-        Bounded(self.loop, process.door, method, path, heard.append)
-        yield lambda: bool(heard)
-        self.count.door_late += heard[0] == 0
-        self.count.door_wrong += heard[0] not in (0, wanted)
-
-    def hold(self, process: Process) -> list[ClientSide]:
-        """Callers with half a call each, who wait."""
-        sides = []
-        for _ in range(CALLERS):
-            side = ClientSide(self.loop, process.door)
-            side.channel.send(b"POST /-/drain HTTP/1.1\r\nHo")
-            sides.append(side)
-        return sides
+    def record(self, instance: Instance, what: str) -> None:
+        """Add a line to the timeline."""
+        self.timeline.append(f"{self.loop.now - self.started_at:6.2f} n{instance.number} {what}")
+
+    def start_clock(self) -> None:
+        """Let the times of the timeline begin now."""
+        self.started_at = self.loop.now
+
+    # ---- management calls ----
+
+    def call_mgmt(self, process: Process, method: str, path: str, wanted: int) -> Script:
+        """Make one management call, wait for the answer and count a wrong one."""
+        statuses: list[int] = []
+        self.counts.mgmt_calls += 1
+        TimedCall(self.loop, process.mgmt_address, method, path, statuses.append)
+        yield lambda: bool(statuses)
+        self.counts.mgmt_timeouts += statuses[0] == 0
+        self.counts.mgmt_wrong_status += statuses[0] not in (0, wanted)
+
+    def open_incomplete_calls(self, process: Process) -> list[ClientConnection]:
+        """Open connections to the management address, each with an incomplete request."""
+        connections = []
+        for _ in range(INCOMPLETE_CALLS):
+            connection = ClientConnection(self.loop, process.mgmt_address)
+            connection.channel.send(b"POST /-/drain HTTP/1.1\r\nHo")
+            connections.append(connection)
+        return connections
 
     # ---- drains ----
 
-    def drain(self, instance: Instance) -> Waits:
-        yield lambda: self._draining < DRAINING_MOST
+    def drain(self, instance: Instance) -> Script:
+        """Drain an instance, check it, and resume it."""
+        yield lambda: self._draining < MAX_DRAINING
         self._draining += 1
-        self.tell(instance, "drain")
-        self.count.drains += 1
-        process, way = instance.serving, self.stage.clients.ways[instance.number]
-        callers = self.hold(process)
-        yield from self.call(process, "POST", "/-/drain", 200)
-        yield HELD_AFTER
-        self.count.held += self._held(way)
-        for side in callers:
-            side.close()
-        yield from self.call(process, "POST", "/-/resume", 200)
+        self.record(instance, "drain")
+        self.counts.drains += 1
+        process, route = instance.serving_process, self.test_bed.clients.routes[instance.number]
+        incomplete = self.open_incomplete_calls(process)
+        yield from self.call_mgmt(process, "POST", "/-/drain", 200)
+        yield DRAIN_CHECK_AFTER_S
+        self.counts.drain_violations += self._count_drain_violations(route)
+        for connection in incomplete:
+            connection.close()
+        yield from self.call_mgmt(process, "POST", "/-/resume", 200)
         resumed = self.loop.now
-        yield lambda: way.healthy or self.loop.now - resumed > RESUMED_WITHIN
-        self.count.late_yes += not way.healthy
+        yield lambda: route.healthy or self.loop.now - resumed > RESUME_WITHIN_S
+        self.counts.late_ready += not route.healthy
         self._draining -= 1
-        self.tell(instance, f"served again {self.loop.now - resumed:.2f} s after the resume")
+        self.record(instance, f"healthy {self.loop.now - resumed:.2f} s after the resume")
 
-    def _held(self, way: Way) -> int:
-        """What is wrong 4 s after a drain: a yes, or a client held idle or with a recent request."""
-        held = int(way.healthy)
-        for side in way.sides:
-            if side.channel.closed or side.ending:
+    def _count_drain_violations(self, route: Route) -> int:
+        """Count violations of a drain: a passing health check, idle clients, clients with recent requests."""
+        violations = int(route.healthy)
+        for connection in route.connections:
+            if connection.channel.closed or connection.closing:
                 continue
-            turn = side.exchange
-            began = getattr(turn, "began", -1e9)
-            held += turn is None or self.loop.now - began < RECENT
-        return held
+            turn = connection.handler
+            sent_at = getattr(turn, "sent_at", -1e9)
+            violations += turn is None or self.loop.now - sent_at < RECENT_S
+        return violations
 
     # ---- upgrades ----
 
-    def _start(self, instance: Instance, what: str) -> tuple[Process, Process]:
-        self.count.upgrades += 1
-        self.tell(instance, f"upgrade: {what}")
-        old = instance.serving
-        return old, instance.start()
-
-    def yes(self, instance: Instance, new: Process) -> Waits:
-        heard: list[bool] = []
-        instance.when_ready(new, YES_WITHIN, heard.append)
-        yield lambda: bool(heard)
-
-    def _finish(self, instance: Instance, old: Process, new: Process) -> Waits:
-        """The old process goes; the new one serves."""
-        yield from self.yes(instance, new)
-        if new.yes_at is None:
-            self.tell(instance, "no yes came")
+    def _start_upgrade(self, instance: Instance, what: str) -> tuple[Process, Process]:
+        self.counts.upgrades += 1
+        self.record(instance, f"upgrade: {what}")
+        old = instance.serving_process
+        return old, instance.start_process()
+
+    def wait_ready(self, instance: Instance, new: Process) -> Script:
+        """Wait until a new process is ready or the time for that is over."""
+        results: list[bool] = []
+        instance.when_ready(new, READY_WITHIN_S, results.append)
+        yield lambda: bool(results)
+
+    def _finish_on_new(self, instance: Instance, old: Process, new: Process) -> Script:
+        """Complete an upgrade: wait for the new process, end the old one, check that the new one serves."""
+        yield from self.wait_ready(instance, new)
+        if new.ready_at is None:
+            self.record(instance, "the new process did not become ready")
             return
-        yield from self.call(new, "GET", "/-/ready", 200)
-        instance.end(old)
+        yield from self.call_mgmt(new, "GET", "/-/ready", 200)
+        instance.terminate(old)
         ended = self.loop.now
         yield lambda: not old.running
-        yes, over = new.yes_at - new.started, self.loop.now - ended
-        self.tell(instance, f"yes after {yes:.2f} s, old over in {over:.2f} s")
-        yield from self._served_by(instance, new)
-        self.count.ended_well += new.running
-
-    def _served_by(self, instance: Instance, process: Process) -> Waits:
-        """The instance serves with this process alone."""
-        yield from self.call(process, "GET", "/-/ready", 200)
-        way = self.stage.clients.ways[instance.number]
-        end = self.loop.now + RESUMED_WITHIN
-        yield lambda: way.healthy or self.loop.now > end
-        self.count.late_yes += not way.healthy
-
-    def _kept(self, instance: Instance, old: Process, new: Process) -> Waits:
-        """The new process is gone; the old one serves as before."""
+        ready_after, ended_in = new.ready_at - new.started_at, self.loop.now - ended
+        self.record(instance, f"ready after {ready_after:.2f} s, old process ended in {ended_in:.2f} s")
+        yield from self._check_serving(instance, new)
+        self.counts.upgrades_completed += new.running
+
+    def _check_serving(self, instance: Instance, process: Process) -> Script:
+        """Check that the instance serves with this process alone."""
+        yield from self.call_mgmt(process, "GET", "/-/ready", 200)
+        route = self.test_bed.clients.routes[instance.number]
+        end = self.loop.now + RESUME_WITHIN_S
+        yield lambda: route.healthy or self.loop.now > end
+        self.counts.late_ready += not route.healthy
+
+    def _finish_on_old(self, instance: Instance, old: Process, new: Process) -> Script:
+        """Abandon an upgrade: end the new process, check that the old one serves as before."""
         new.kill()
         yield lambda: not new.running
         instance.processes.remove(new)
-        instance.processes.insert(0, new)  # ended with the others, and not the one that serves
-        yield from self._served_by(instance, old)
-        self.count.kept_old += old.running
-
-    def well(self, instance: Instance) -> Waits:
-        yield from self._finish(instance, *self._start(instance, "well"))
-
-    def reloads(self, instance: Instance) -> Waits:
-        old, new = self._start(instance, "SIGHUP to both on the way")
-        yield lambda: new.said("serving") > 0
+        instance.processes.insert(0, new)  # so that it is closed with the others, but is not the serving one
+        yield from self._check_serving(instance, old)
+        self.counts.upgrades_kept_old += old.running
+
+    def upgrade_normally(self, instance: Instance) -> Script:
+        """An upgrade without a fault."""
+        yield from self._finish_on_new(instance, *self._start_upgrade(instance, "no fault"))
+
+    def upgrade_with_reloads(self, instance: Instance) -> Script:
+        """Both processes get SIGHUP during the upgrade."""
+        old, new = self._start_upgrade(instance, "SIGHUP to both processes")
+        yield lambda: new.count_log_lines("serving") > 0
         for process in (old, new):
-            process.signal(signal.SIGHUP)
-        yield from self._finish(instance, old, new)
+            process.send_signal(signal.SIGHUP)
+        yield from self._finish_on_new(instance, old, new)
 
-    def damaged(self, instance: Instance) -> Waits:
-        """Whatever is handed over is found damaged."""
-        line = instance.folder / "tmp" / f"yewhook-n{instance.number}"
-        old, new = self._start(instance, "a damaged hand-over")
+    def upgrade_with_damaged_handover(self, instance: Instance) -> Script:
+        """The new process finds a damaged hand-over file."""
+        handover_folder = instance.folder / "tmp" / f"yewhook-n{instance.number}"
+        old, new = self._start_upgrade(instance, "damaged hand-over")
         damaged: list[bool] = []
 
-        def damage() -> bool:
-            number = max((int(p.stem) for p in line.glob("*.process")), default=0)
-            path = line / f"{number}.handover"
+        def write_damaged_handover() -> bool:
+            number = max((int(p.stem) for p in handover_folder.glob("*.process")), default=0)
+            path = handover_folder / f"{number}.handover"
             if number and not damaged and not path.exists():
-                path.write_bytes(b"yewhook-handover 1 5 00000000\nxxxxx")  # before the old one writes its own
+                # Before the old process writes its own file.
+                path.write_bytes(b"yewhook-handover 1 5 00000000\nxxxxx")
                 damaged.append(True)
             return bool(damaged) or not new.running
 
-        before = {p.name for p in line.glob("*.process")}
-        yield lambda: {p.name for p in line.glob("*.process")} != before and damage()
-        yield from self._finish(instance, old, new)
+        before = {p.name for p in handover_folder.glob("*.process")}
+        yield (
+            lambda: {p.name for p in handover_folder.glob("*.process")} != before and write_damaged_handover()
+        )
+        yield from self._finish_on_new(instance, old, new)
 
-    def full(self, instance: Instance) -> Waits:
-        """The old process finds no room for the hand-over."""
-        line = instance.folder / "tmp" / f"yewhook-n{instance.number}"
-        number = max(int(path.stem) for path in line.glob("*.process"))
+    def upgrade_without_handover_space(self, instance: Instance) -> Script:
+        """The old process cannot write the hand-over file."""
+        handover_folder = instance.folder / "tmp" / f"yewhook-n{instance.number}"
+        number = max(int(path.stem) for path in handover_folder.glob("*.process"))
         for later in range(number + 1, number + 4):
-            (line / f"part-{number}-{later}").mkdir(exist_ok=True)  # no file can be written under this name
-        yield from self._finish(instance, *self._start(instance, "no room for the hand-over"))
+            # A directory keeps the process from writing a file under this name.
+            (handover_folder / f"part-{number}-{later}").mkdir(exist_ok=True)
+        yield from self._finish_on_new(
+            instance, *self._start_upgrade(instance, "hand-over file cannot be written")
+        )
 
-    def drained(self, instance: Instance) -> Waits:
-        """A drain before the upgrade holds after it, and the new process takes the resume."""
-        yield lambda: self._draining < DRAINING_MOST
+    def upgrade_while_drained(self, instance: Instance) -> Script:
+        """The instance stays drained across the upgrade, and the new process accepts the resume."""
+        yield lambda: self._draining < MAX_DRAINING
         self._draining += 1
-        self.count.drains += 1
-        way = self.stage.clients.ways[instance.number]
-        yield from self.call(instance.serving, "POST", "/-/drain", 200)
+        self.counts.drains += 1
+        route = self.test_bed.clients.routes[instance.number]
+        yield from self.call_mgmt(instance.serving_process, "POST", "/-/drain", 200)
         yield 0.3
-        old, new = self._start(instance, "while drained")
-        yield from self.yes(instance, new)
-        instance.end(old)
+        old, new = self._start_upgrade(instance, "while drained")
+        yield from self.wait_ready(instance, new)
+        instance.terminate(old)
         yield lambda: not old.running
-        self.count.held += way.healthy
-        yield from self.call(new, "POST", "/-/resume", 200)
-        yield from self._served_by(instance, new)
+        self.counts.drain_violations += route.healthy
+        yield from self.call_mgmt(new, "POST", "/-/resume", 200)
+        yield from self._check_serving(instance, new)
         self._draining -= 1
-        self.count.ended_well += new.running
+        self.counts.upgrades_completed += new.running
 
-    def old_killed(self, instance: Instance) -> Waits:
-        old, new = self._start(instance, "the old one is killed before the yes")
-        yield lambda: new.said("door open") > 0
-        self.stage.clients.ways[instance.number].killed_at = self.loop.now
+    def upgrade_with_old_killed(self, instance: Instance) -> Script:
+        """The old process is killed before the new one is ready."""
+        old, new = self._start_upgrade(instance, "old process killed before the new one is ready")
+        yield lambda: new.count_log_lines("door open") > 0
+        self.test_bed.clients.routes[instance.number].killed_at = self.loop.now
         old.kill()
-        yield from self._finish(instance, old, new)
-
-    def killed_before(self, instance: Instance) -> Waits:
-        old, new = self._start(instance, "the new one is killed before its yes")
-        yield self.stage.random.uniform(0.0, 0.4)
-        yield from self._kept(instance, old, new)
-
-    def stopped_before(self, instance: Instance) -> Waits:
-        old, new = self._start(instance, "the new one hangs before its yes")
-        yield self.stage.random.uniform(0.05, 0.3)
-        new.signal(signal.SIGSTOP)
+        yield from self._finish_on_new(instance, old, new)
+
+    def kill_new_before_ready(self, instance: Instance) -> Script:
+        """The new process is killed before it is ready."""
+        old, new = self._start_upgrade(instance, "new process killed before it is ready")
+        yield self.test_bed.random.uniform(0.0, 0.4)
+        yield from self._finish_on_old(instance, old, new)
+
+    def hang_new_before_ready(self, instance: Instance) -> Script:
+        """The new process hangs before it is ready."""
+        old, new = self._start_upgrade(instance, "new process hangs before it is ready")
+        yield self.test_bed.random.uniform(0.05, 0.3)
+        new.send_signal(signal.SIGSTOP)
         yield 3.0
-        yield from self._kept(instance, old, new)
-
-    def killed_after(self, instance: Instance) -> Waits:
-        old, new = self._start(instance, "the new one is killed right after its yes")
-        yield from self.yes(instance, new)
-        yield self.stage.random.uniform(0.0, 1.0)
-        self.stage.clients.ways[instance.number].killed_at = self.loop.now
-        yield from self._kept(instance, old, new)
-
-    def hung_after(self, instance: Instance) -> Waits:
-        old, new = self._start(instance, "the new one hangs after its yes")
-        yield from self.yes(instance, new)
+        yield from self._finish_on_old(instance, old, new)
+
+    def kill_new_after_ready(self, instance: Instance) -> Script:
+        """The new process is killed up to a second after it is ready."""
+        old, new = self._start_upgrade(instance, "new process killed just after it is ready")
+        yield from self.wait_ready(instance, new)
+        yield self.test_bed.random.uniform(0.0, 1.0)
+        self.test_bed.clients.routes[instance.number].killed_at = self.loop.now
+        yield from self._finish_on_old(instance, old, new)
+
+    def hang_new_after_ready(self, instance: Instance) -> Script:
+        """The new process hangs after it is ready; the old one serves again."""
+        old, new = self._start_upgrade(instance, "new process hangs after it is ready")
+        yield from self.wait_ready(instance, new)
         yield 0.5
-        new.signal(signal.SIGSTOP)
-        yield lambda: old.said("state: handing over to ready") > 0
-        self.stage.clients.ways[instance.number].killed_at = self.loop.now
-        yield from self._kept(instance, old, new)
-
-
-ENDS_WELL = (Operators.well, Operators.reloads, Operators.damaged, Operators.full, Operators.drained,
-             Operators.old_killed)  # fmt: skip
-KEEPS_OLD = (Operators.killed_before, Operators.stopped_before, Operators.killed_after, Operators.hung_after)
-Act = Callable[[Operators, Instance], Waits]
-
-
-def draw(random: Random, instances: int, acts: int) -> list[list[Act]]:
-    """Each instance's acts: a drain, one upgrade that ends well and one that does not, and more by chance."""
-    well, kept = list(ENDS_WELL), list(KEEPS_OLD)
-    random.shuffle(well)
-    random.shuffle(kept)
+        new.send_signal(signal.SIGSTOP)
+        yield lambda: old.count_log_lines("state: handing over to ready") > 0
+        self.test_bed.clients.routes[instance.number].killed_at = self.loop.now
+        yield from self._finish_on_old(instance, old, new)
+
+
+COMPLETED_UPGRADES = (
+    Operators.upgrade_normally,
+    Operators.upgrade_with_reloads,
+    Operators.upgrade_with_damaged_handover,
+    Operators.upgrade_without_handover_space,
+    Operators.upgrade_while_drained,
+    Operators.upgrade_with_old_killed,
+)
+FAILED_UPGRADES = (
+    Operators.kill_new_before_ready,
+    Operators.hang_new_before_ready,
+    Operators.kill_new_after_ready,
+    Operators.hang_new_after_ready,
+)
+Operation = Callable[[Operators, Instance], Script]
+
+
+def draw(random: Random, instances: int, acts: int) -> list[list[Operation]]:
+    """Draw operations for each instance: a drain, a completed and a failed upgrade, and random others."""
+    completed, failed = list(COMPLETED_UPGRADES), list(FAILED_UPGRADES)
+    random.shuffle(completed)
+    random.shuffle(failed)
     plans = []
     for n in range(instances):
-        plan: list[Act] = [Operators.drain, well[n % len(well)], kept[n % len(kept)]]
-        plan += random.choices([Operators.drain, *ENDS_WELL, *KEEPS_OLD], k=max(0, acts - len(plan)))
+        plan: list[Operation] = [Operators.drain, completed[n % len(completed)], failed[n % len(failed)]]
+        plan += random.choices(
+            [Operators.drain, *COMPLETED_UPGRADES, *FAILED_UPGRADES], k=max(0, acts - len(plan))
+        )
         random.shuffle(plan)
         plans.append(plan[:acts] if acts < len(plan) else plan)
     return plans
 
 
-def experiment(seed: int, routers: int = ROUTERS, acts: int = 4, rate: float = RATE) -> Result:
-    """Play a seed's script and count."""
+def experiment(seed: int, routers: int = ROUTERS, acts: int = 4, turns_per_s: float = TURNS_PER_S) -> Result:
+    """Run the operations of a seed under load and return the counts."""
     with tempfile.TemporaryDirectory(prefix="yewhook-stage-") as folder:
-        stage = Stage(Path(folder), routers, seed, rate)
+        test_bed = ProcessTestBed(Path(folder), routers, seed, turns_per_s)
         try:
-            return _play(stage, draw(stage.random, routers, acts))
+            return _run(test_bed, draw(test_bed.random, routers, acts))
         finally:
-            stage.close()
-
-
-def _play(stage: Stage, plans: list[list[Act]]) -> Result:
-    loop, clients, operators, play = stage.loop, stage.clients, Operators(stage), Play(stage.loop)
-    end = loop.now + MOST
-    operators.begin()
-
-    def script(instance: Instance, plan: list[Act]) -> Waits:
-        process = instance.start()
-        yield from operators.yes(instance, process)
-        yield lambda: all(way.healthy for way in clients.ways)
-        yield SETTLED + stage.random.uniform(0.0, 2.0)
-        for act in plan:
-            yield from act(operators, instance)
-            yield stage.random.uniform(0.3, 1.5)
-
-    for instance, plan in zip(stage.instances, plans, strict=True):
-        play.start(script(instance, plan))
-    play.start(_load(stage))
-    while play.running and loop.now < end:
-        stage.run(loop.now + 0.1)
+            test_bed.close()
+
+
+def _run(test_bed: ProcessTestBed, plans: list[list[Operation]]) -> Result:
+    loop, clients = test_bed.loop, test_bed.clients
+    operators, runner = Operators(test_bed), ScriptRunner(test_bed.loop)
+    end = loop.now + MAX_RUN_S
+    operators.start_clock()
+
+    def script(instance: Instance, plan: list[Operation]) -> Script:
+        process = instance.start_process()
+        yield from operators.wait_ready(instance, process)
+        yield lambda: all(route.healthy for route in clients.routes)
+        yield SETTLE_S + test_bed.random.uniform(0.0, 2.0)
+        for operation in plan:
+            yield from operation(operators, instance)
+            yield test_bed.random.uniform(0.3, 1.5)
+
+    for instance, plan in zip(test_bed.instances, plans, strict=True):
+        runner.start(script(instance, plan))
+    runner.start(_start_load(test_bed))
+    while runner.running and loop.now < end:
+        test_bed.run(loop.now + 0.1)
     clients.stopped = True
-    last = loop.now + OVER_WITHIN
-    while clients.open and loop.now < last:
-        stage.run(loop.now + 0.1)
-    for instance in stage.instances:
-        instance.end(instance.serving)
-    stage.run(loop.now + 0.8)
-    return _result(stage, operators)
-
-
-def _load(stage: Stage) -> Waits:
-    yield lambda: all(way.healthy for way in stage.clients.ways)
-    stage.clients.begin()
-
-
-FAULTS = ("turn failed", "handler failed", "send withheld", "answer overdue", "send for an unknown request")
-
-
-def _result(stage: Stage, operators: Operators) -> Result:
-    tally, count, broken = stage.clients.tally, operators.count, stage.rules.broken
-    twice = [what for what in broken if "may not be repeated" in what or "attempts out" in what]
-    processes = [process for instance in stage.instances for process in instance.processes]
-    faults = [f"{p.log}: {fault}" for p in processes for fault in FAULTS if p.said(fault)]
+    last = loop.now + FINISH_WITHIN_S
+    while clients.open_requests and loop.now < last:
+        test_bed.run(loop.now + 0.1)
+    for instance in test_bed.instances:
+        instance.terminate(instance.serving_process)
+    test_bed.run(loop.now + 0.8)
+    return _make_result(test_bed, operators)
+
+
+def _start_load(test_bed: ProcessTestBed) -> Script:
+    yield lambda: all(route.healthy for route in test_bed.clients.routes)
+    test_bed.clients.start()
+
+
+FAULT_EVENTS = (
+    "turn failed",
+    "handler failed",
+    "send withheld",
+    "answer overdue",
+    "send for an unknown request",
+)
+
+
+def _make_result(test_bed: ProcessTestBed, operators: Operators) -> Result:
+    tally, counts, broken = test_bed.clients.tally, operators.counts, test_bed.rules.broken
+    duplicates = [what for what in broken if "may not be repeated" in what or "attempts out" in what]
+    processes = [process for instance in test_bed.instances for process in instance.processes]
+    faults = [
+        f"{p.log_path}: {fault}" for p in processes for fault in FAULT_EVENTS if p.count_log_lines(fault)
+    ]
     figures = {
         "processes": len(processes),
         "requests": tally.requests,
         "answered_once": tally.answered_once,
         "lost_with_their_process": tally.lost_with_process,
-        "door_calls": count.door_calls,
-        "door_late": count.door_late,
-        "door_wrong": count.door_wrong,
-        "drains": count.drains,
-        "held_4s_after_drain": count.held,
-        "late_yes": count.late_yes,
-        "upgrades": count.upgrades,
-        "upgrades_ended_well": count.ended_well,
-        "upgrades_kept_old": count.kept_old,
-        "unread_connections": tally.unread,
-        "duplicates_of_unsafe": len(twice),
+        "door_calls": counts.mgmt_calls,
+        "door_late": counts.mgmt_timeouts,
+        "door_wrong": counts.mgmt_wrong_status,
+        "drains": counts.drains,
+        "held_4s_after_drain": counts.drain_violations,
+        "late_yes": counts.late_ready,
+        "upgrades": counts.upgrades,
+        "upgrades_ended_well": counts.upgrades_completed,
+        "upgrades_kept_old": counts.upgrades_kept_old,
+        "unread_connections": tally.unanswered_on_new,
+        "duplicates_of_unsafe": len(duplicates),
         "rules_broken": len(broken),
         "faults": len(faults),
         "served": tally.served,
         "refused": tally.refused,
     }
-    return Result(figures, [*broken, *faults], operators.story)
+    return Result(figures, [*broken, *faults], operators.timeline)
