--- a/tests/levels/test_in_the_lab.py
+++ b/tests/levels/test_in_the_lab.py
@@ -16,8 +16,8 @@
 from yewhook.levels.settings import Mode, ServiceLevelSettings
 from yewlab import site
 from yewlab.hardcases import rolling_deploy
-from yewlab.levels import LEFT, OFF, ON, Result, Run, Swing, experiment, fall
-from yewlab.simulation import TICK, Simulation
+from yewlab.levels import OFF, ON, REMAINING_SHARE, Result, Run, Swing, experiment, fall
+from yewlab.simulation import TICK_S, Simulation
 from yewlab.workload import Clients
 
 FLEET = {Role.READER: 3, Role.WRITER: 3, Role.MIXED: 0}
@@ -34,7 +34,7 @@
     start = run.sim.now
     for at, call in script:
         run.sim.at(start + at, lambda call=call: call() and None)  # type: ignore[misc]
-    clients = run.clients(rate, start + seconds)
+    clients = run.start_clients(rate, start + seconds)
     run.sim.run(start + seconds + 20.0)
     assert run.broken == ()
     return clients
@@ -47,7 +47,7 @@
 def test_a_deadline_just_above_a_tick_is_due_and_time_advances() -> None:
     # Its tick was rounded to just below it, and the simulation looped forever at the same time.
     sim, due = Simulation(), []
-    sim.deadlines.set(1000.0 + 2 * TICK + 1e-10, lambda: due.append(sim.now))
+    sim.deadlines.set(1000.0 + 2 * TICK_S + 1e-10, lambda: due.append(sim.now))
     sim.after(1.0, lambda: due.append(sim.now))
     sim.run(1002.0)
     assert len(due) == 2 and sim.now == 1002.0
@@ -90,8 +90,8 @@
         (30.0, lambda: seen.append(governor.level_state.level)),
         (58.0, lambda: seen.append(governor.level_state.level)),
     ]
-    for box in run.fleet.of(role):
-        script += [(20.0, partial(run.fleet.drain, box, 1.0)), (60.0, partial(run.fleet.back, box))]
+    for box in run.fleet.with_role(role):
+        script += [(20.0, partial(run.fleet.drain, box, 1.0)), (60.0, partial(run.fleet.restart, box))]
     tally = play(run, lambda now: 6.0, 120.0, *script).tally
     assert seen == [Level.LAST_RESORT] * 2
     assert tally.refused > 100 and 0.4 < tally.worth < 0.9
@@ -169,7 +169,7 @@
     on, off = (fall(settings, 3, 150.0) for settings in (ON, OFF))
     assert on.broken == off.broken == ()
     assert on.top_class >= off.top_class + 0.1 and on.worth >= off.worth
-    assert LEFT == 0.6
+    assert REMAINING_SHARE == 0.6
 
 
 def test_the_experiment_reports_its_figures_and_can_fail() -> None:
--- a/yewhook/levels/governor.py
+++ b/yewhook/levels/governor.py
@@ -27,11 +27,11 @@
 if TYPE_CHECKING:
     from ..recovery.recovery import Recovery
 
-EVALUATION_INTERVAL_S = 0.25
+EVALUATION_INTERVAL_S = 0.25  # between measurements of the signals
 LATE_TIME_CONSTANT_S = 5.0  # of the signal `late`
 WAITING_TIME_CONSTANT_S = 3.0  # of the signal `waiting`
 LOST_TIME_CONSTANT_S = 10.0  # of the signal `lost`
-TURN_RATE_TIME_CONSTANT_S = 20.0
+TURN_RATE_TIME_CONSTANT_S = 20.0  # of the rate of turns sent to servers
 MIN_WAIT_SAMPLES = 4.0  # turns needed for the signal `waiting`; it is 0 with fewer
 MAX_LOAD_SIGNAL = 10.0  # upper bound of the signal `load`
 ENTRY_GRACE_S = 5.0  # after a request's patience, until an entry that no event ended is dropped
@@ -47,7 +47,7 @@
     answered_at: float | None = None  # s, when its answer began
 
 
-# Returns the usage of each role's servers at a time in seconds
+# Returns the usage of each role's servers at a given time, in seconds of the loop's clock
 RoleUsageSource = Callable[[float], dict[Role, interface.RoleUsage]]
 
 
@@ -342,7 +342,7 @@
         }  # fmt: skip
 
     def _admitted_share(self, tenant: int, now: float) -> float:
-        """The share of a client's work that is admitted."""
+        """The share of a tenant's work that is admitted."""
         kinds = self._demand.arrival_rates(tenant, now)
         total = sum(kinds.values())
         shares = self._shares[tenant]
--- a/yewlab/processes/soak.py
+++ b/yewlab/processes/soak.py
@@ -1,9 +1,9 @@
-"""Faults by chance on real processes, one after another; the rules are checked over all of them.
+"""A soak test: random faults on real processes, with the rules checked over all of them together.
 
-A seed draws the fleet, a list of a few servers or of thousands, the time for which states may be held and a
-script: servers that hang with their connections open, connections that fall silent or break, watches that
-end, drains, cold starts, restarts in series with a second signal on the way, system calls that fail and a
-wall clock that steps; in some seeds two at once.
+A seed draws the workers, a list with a few servers or thousands, the time for which states may be held, and a
+script of faults: workers that hang with their connections open, connections that break or are not
+established, watches that end, drains, cold starts, rolling restarts with a second SIGTERM, failing system
+calls and a stepping wall clock. In some seeds two faults overlap.
 """
 
 from __future__ import annotations
@@ -17,31 +17,40 @@
 
 from hopshed.interface import Role
 
-from .host import Process
-from .net import ClientSide
-from .operate import FAULTS, Operators, Play, Waits
-from .stage import OFFSET, TOLD_WITHIN, Stage
-
-SETTLES, PAUSE = 1.0, (0.5, 2.0)  # s before the script, and between its faults
-PAIR_APART = (0.0, 1.5)  # s between the begins of two faults at once
-HANGS_FOR, SILENT_FOR, HELD_UP_FOR = (3.0, 5.0), (1.0, 3.0), (0.05, 0.15)  # s
-IDLE_CLIENTS, CROWD_SEEDS = 300, 5  # connections of a crowd; one seed in so many has one
-# Entries of the list for each server, and one seed in so many (those that leave this rest) with such a list.
-MANY_ENTRIES, LONG_LIST_SEEDS, LONG_LIST_REST = 300, 4, 3
-PAIR_SEEDS, PAIR_REST = 3, 2  # one seed in so many, those that leave this rest, plays two faults at once
-SHIM = Path(__file__).parent / "shim"
+from .http_connections import ClientConnection
+from .instances import Process
+from .operate import FAULT_EVENTS, Operators, Script, ScriptRunner
+from .testbed import NOTIFIED_WITHIN_S, UNIX_OFFSET_S, ProcessTestBed
+
+SETTLE_S = 1.0  # load before the first fault
+PAUSE_S = (0.5, 2.0)  # between faults
+PAIR_OFFSET_S = (0.0, 1.5)  # between the starts of two overlapping faults
+HANG_S = (3.0, 5.0)
+ISOLATION_S = (1.0, 3.0)
+SUSPENSION_S = (0.05, 0.15)
+# Every fifth seed opens idle client connections.
+IDLE_CONNECTIONS = 300
+IDLE_CONNECTION_SEEDS = 5
+# Seeds with `seed % LONG_LIST_SEEDS == LONG_LIST_REST` list this many servers for each worker.
+MANY_ENTRIES = 300
+LONG_LIST_SEEDS = 4
+LONG_LIST_REST = 3
+# Seeds with `seed % PAIR_SEEDS == PAIR_REST` overlap two faults each time.
+PAIR_SEEDS = 3
+PAIR_REST = 2
+SHIM_FOLDER = Path(__file__).parent / "shim"
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What came of one seed."""
+    """The outcome of one seed."""
 
     seed: int
-    story: tuple[str, ...]
-    broken: tuple[str, ...]  # rules, with the times and requests
+    timeline: tuple[str, ...]
+    broken: tuple[str, ...]  # broken rules, with times and requests
     requests: int
     served: int
-    unanswered: int  # requests that were sent and got no answer of any kind
+    unanswered: int  # requests without an answer of any kind
 
     @property
     def holds(self) -> bool:
@@ -50,7 +59,7 @@
 
 
 class Soak:
-    """One seed's stage and script."""
+    """The test bed and the script of one seed."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.random = Random(f"soak {seed}")
@@ -63,8 +72,8 @@
         self.long_list = seed % LONG_LIST_SEEDS == LONG_LIST_REST
         environment: dict[str, str] = {}
         if self.random.random() < 0.5:
-            environment = {"PYTHONPATH": str(SHIM), "YEWLAB_FAULTS": str(seed)}
-        self.stage = Stage(
+            environment = {"PYTHONPATH": str(SHIM_FOLDER), "YEWLAB_FAULTS": str(seed)}
+        self.test_bed = ProcessTestBed(
             folder,
             self.random.randint(2, 4),
             seed,
@@ -73,146 +82,150 @@
             3,
             extra=extra,
             environment=environment,
-            entries=MANY_ENTRIES if self.long_list else 1,
+            entries_per_worker=MANY_ENTRIES if self.long_list else 1,
         )
-        self.loop, self.operators = self.stage.loop, Operators(self.stage)
-        self.crowd: list[ClientSide] = []
-        self.with_crowd = seed % CROWD_SEEDS == 0
+        self.loop, self.operators = self.test_bed.loop, Operators(self.test_bed)
+        self.idle_connections: list[ClientConnection] = []
+        self.with_idle_connections = seed % IDLE_CONNECTION_SEEDS == 0
         self.in_pairs = seed % PAIR_SEEDS == PAIR_REST
-        self.player = Play(self.loop)
-
-    def script(self, count: int) -> Waits:
-        """Start all instances, play so many faults, and let what was taken end."""
-        stage = self.stage
-        for instance in stage.instances:
-            instance.start()
-        yield lambda: all(way.healthy for way in stage.clients.ways)
-        stage.clients.begin()
-        yield SETTLES
-        if self.with_crowd:
-            self.gather()
+        self.runner = ScriptRunner(self.loop)
+
+    def script(self, count: int) -> Script:
+        """Start all instances, inject `count` faults under load, and wait for the open requests."""
+        test_bed = self.test_bed
+        for instance in test_bed.instances:
+            instance.start_process()
+        yield lambda: all(route.healthy for route in test_bed.clients.routes)
+        test_bed.clients.start()
+        yield SETTLE_S
+        if self.with_idle_connections:
+            self.open_idle_connections()
         for _ in range(count):
             yield from self.pair() if self.in_pairs else self.fault(self.random.choice(FAULT_KINDS))
-            yield self.random.uniform(*PAUSE)
-        stage.clients.stopped = True
-        yield lambda: not stage.clients.open
+            yield self.random.uniform(*PAUSE_S)
+        test_bed.clients.stopped = True
+        yield lambda: not test_bed.clients.open_requests
 
-    def fault(self, kind: Fault) -> Waits:
-        """One fault, from its begin to its end."""
-        self.tell(kind.__name__)
+    def fault(self, kind: Fault) -> Script:
+        """Inject one fault and wait for its end."""
+        self.record(kind.__name__)
         yield from kind(self)
 
-    def pair(self) -> Waits:
-        """Two faults at once."""
+    def pair(self) -> Script:
+        """Inject two overlapping faults."""
         first, second = self.random.sample(FAULT_KINDS, 2)
-        over: list[Fault] = []
+        done: list[Fault] = []
 
-        def beside() -> Waits:
-            yield self.random.uniform(*PAIR_APART)
+        def second_fault() -> Script:
+            yield self.random.uniform(*PAIR_OFFSET_S)
             yield from self.fault(second)
-            over.append(second)
+            done.append(second)
 
         if second is not first:
-            self.player.start(beside())
+            self.runner.start(second_fault())
         yield from self.fault(first)
-        yield lambda: bool(over) or second is first
+        yield lambda: bool(done) or second is first
 
-    def tell(self, what: str) -> None:
-        self.operators.story.append(f"{self.loop.now - self.operators.began:6.2f} {what}")
+    def record(self, what: str) -> None:
+        """Add a line to the timeline."""
+        self.operators.timeline.append(f"{self.loop.now - self.operators.started_at:6.2f} {what}")
 
-    def most(self, names: list[str]) -> list[str]:
-        """All of a role but one or two."""
+    def most_of(self, names: list[str]) -> list[str]:
+        """Choose all of these workers but one or two."""
         return self.random.sample(names, len(names) - self.random.randint(1, 2))
 
-    def gather(self) -> None:
-        """Idle clients, spread over the instances."""
-        for number in range(IDLE_CLIENTS):
-            instance = self.stage.instances[number % len(self.stage.instances)]
-            self.crowd.append(ClientSide(self.loop, instance.address))
+    def open_idle_connections(self) -> None:
+        """Open idle client connections, spread over the instances."""
+        for number in range(IDLE_CONNECTIONS):
+            instance = self.test_bed.instances[number % len(self.test_bed.instances)]
+            self.idle_connections.append(ClientConnection(self.loop, instance.address))
 
     # ---- faults ----
 
-    def writers_hang(self) -> Waits:
-        """Most writers read, write and accept nothing; their connections stay open."""
-        yield from self._hang(self.most(self.writers))
+    def writers_hang(self) -> Script:
+        """Most writers hang: they read, write and accept nothing; their connections stay open."""
+        yield from self._hang(self.most_of(self.writers))
 
-    def some_hang(self) -> Waits:
-        """A few servers of any role hang."""
+    def some_hang(self) -> Script:
+        """Two workers of any role hang."""
         yield from self._hang(self.random.sample(self.readers + self.writers, 2))
 
-    def _hang(self, names: list[str]) -> Waits:
-        self.stage.hang(names)
-        yield self.random.uniform(*HANGS_FOR)
-        self.stage.wake(names)
+    def _hang(self, names: list[str]) -> Script:
+        self.test_bed.hang_workers(names)
+        yield self.random.uniform(*HANG_S)
+        self.test_bed.resume_workers(names)
 
-    def cut_off(self) -> Waits:
-        """Most writers are cut off: connections break, and new ones do not come up."""
-        links = self.stage.links_to(self.most(self.writers))
+    def cut_off(self) -> Script:
+        """Most writers are isolated: connections break, and new ones are not established."""
+        links = self.test_bed.links_to(self.most_of(self.writers))
         for link in links:
-            link.cut_off()
-        yield self.random.uniform(*SILENT_FOR)
+            link.isolate()
+        yield self.random.uniform(*ISOLATION_S)
         for link in links:
             link.reconnect()
 
-    def broken_connections(self) -> Waits:
-        """What is open to some servers is reset, with requests on the way."""
-        for link in self.stage.links_to(self.random.sample(self.readers + self.writers, 3)):
-            link.reset()
+    def broken_connections(self) -> Script:
+        """The connections to three workers are reset, with requests in flight."""
+        for link in self.test_bed.links_to(self.random.sample(self.readers + self.writers, 3)):
+            link.reset_connections()
         yield 0.1
 
-    def watches_end(self) -> Waits:
-        """The watches on the list fall silent or break, and then a server begins to drain."""
-        faces = self.stage.register.faces
+    def watches_end(self) -> Script:
+        """The discovery watches fall silent or break, and then a writer begins to drain."""
+        endpoints = self.test_bed.discovery.endpoints
         silent = self.random.random() < 0.5
-        for face in faces:
-            face.forget_watches() if silent else face.lose_watches()
+        for endpoint in endpoints:
+            endpoint.silence_watches() if silent else endpoint.abort_watches()
         name = self.random.choice(self.writers)
-        self.stage.change(name, lifecycle="draining")
-        yield TOLD_WITHIN + 1.0
-        self.stage.change(name, lifecycle="up")
+        self.test_bed.change_entry(name, lifecycle="draining")
+        yield NOTIFIED_WITHIN_S + 1.0
+        self.test_bed.change_entry(name, lifecycle="up")
 
-    def cold_start(self) -> Waits:
-        """A server's process ends, and a new one is there at once, cold."""
+    def cold_start(self) -> Script:
+        """The process of a worker is replaced at once by a new one, which is cold."""
         name = self.random.choice(self.readers + self.writers)
-        worker = self.stage.workers.boxes[name]
-        worker.die()
-        if not self.long_list:  # else what hundreds of cold servers may get would come to this one
-            worker.cool()
-        self.stage.change(name, lifecycle="up", startedAtMs=round((self.loop.now + OFFSET) * 1000.0))
+        worker = self.test_bed.workers.by_name[name]
+        worker.restart()
+        # With a long list, this worker would get the load allowed for hundreds of cold servers.
+        if not self.long_list:
+            worker.begin_slow_start()
+        self.test_bed.change_entry(
+            name, lifecycle="up", startedAtMs=round((self.loop.now + UNIX_OFFSET_S) * 1000.0)
+        )
         yield 1.0
 
-    def restarts(self) -> Waits:
-        """The instances restart one after another, some told twice; clients write on what is open."""
-        for instance in self.stage.instances:
-            old: Process = instance.serving
-            instance.end(old)
+    def restarts(self) -> Script:
+        """Rolling restart while clients keep using their connections; some processes get a second SIGTERM."""
+        for instance in self.test_bed.instances:
+            old: Process = instance.serving_process
+            instance.terminate(old)
             if self.random.random() < 0.5:
                 yield self.random.uniform(0.05, 0.5)
-                old.signal(signal.SIGTERM)
-            new = instance.start()
-            yield from self.operators.yes(instance, new)
+                old.send_signal(signal.SIGTERM)
+            new = instance.start_process()
+            yield from self.operators.wait_ready(instance, new)
             yield lambda old=old: not old.running  # type: ignore[misc]
 
-    def reloads(self) -> Waits:
-        """Each instance reads its configuration anew, several times in a row."""
-        for instance in self.stage.instances:
+    def reloads(self) -> Script:
+        """Each instance reloads its configuration several times in a row."""
+        for instance in self.test_bed.instances:
             for _ in range(3):
-                instance.serving.signal(signal.SIGHUP)
+                instance.serving_process.send_signal(signal.SIGHUP)
         yield 0.5
 
-    def held_up(self) -> Waits:
-        """The instances get no time on their cores for a moment, several times."""
+    def held_up(self) -> Script:
+        """All instances are suspended for a short time, several times."""
         for _ in range(5):
-            running = [instance.serving for instance in self.stage.instances]
+            running = [instance.serving_process for instance in self.test_bed.instances]
             for process in running:
-                process.signal(signal.SIGSTOP)
-            yield self.random.uniform(*HELD_UP_FOR)
+                process.send_signal(signal.SIGSTOP)
+            yield self.random.uniform(*SUSPENSION_S)
             for process in running:
-                process.signal(signal.SIGCONT)
+                process.send_signal(signal.SIGCONT)
             yield self.random.uniform(0.1, 0.4)
 
 
-Fault = Callable[[Soak], Waits]
+Fault = Callable[[Soak], Script]
 FAULT_KINDS: list[Fault] = [
     Soak.writers_hang, Soak.writers_hang, Soak.some_hang, Soak.cut_off, Soak.broken_connections,
     Soak.watches_end, Soak.cold_start, Soak.restarts, Soak.reloads, Soak.held_up,
@@ -220,31 +233,40 @@
 
 
 def play(seed: int, count: int = 5, most: float = 150.0) -> Result:
-    """Play one seed's script of so many faults, for so many s at the longest."""
+    """Run one seed with `count` faults, for `most` seconds at the longest."""
     with tempfile.TemporaryDirectory(prefix="yewhook-soak-") as folder:
         soak = Soak(Path(folder), seed)
         try:
-            return _played(soak, seed, count, most)
+            return _run(soak, seed, count, most)
         finally:
-            for side in soak.crowd:
+            for side in soak.idle_connections:
                 side.close()
-            soak.stage.close()
+            soak.test_bed.close()
 
 
-def _played(soak: Soak, seed: int, count: int, most: float) -> Result:
-    stage, tally = soak.stage, soak.stage.clients.tally
-    soak.operators.begin()
-    done = soak.player.whole(stage, soak.script(count), most)
-    processes = [process for instance in stage.instances for process in instance.processes]
+def _run(soak: Soak, seed: int, count: int, most: float) -> Result:
+    test_bed, tally = soak.test_bed, soak.test_bed.clients.tally
+    soak.operators.start_clock()
+    done = soak.runner.run(test_bed, soak.script(count), most)
+    processes = [process for instance in test_bed.instances for process in instance.processes]
     faults = [
-        f"{fault} in {process.log.name}" for process in processes for fault in FAULTS if process.said(fault)
+        f"{fault} in {process.log_path.name}"
+        for process in processes
+        for fault in FAULT_EVENTS
+        if process.count_log_lines(fault)
     ]
-    ended = [] if done else [f"not over after {most:.0f} s, {stage.clients.open} requests open"]
-    unanswered = tally.requests - tally.answered_once - (tally.unread if soak.with_crowd else 0)
+    ended = (
+        []
+        if done
+        else [f"script not finished after {most:.0f} s, {test_bed.clients.open_requests} requests open"]
+    )
+    unanswered = (
+        tally.requests - tally.answered_once - (tally.unanswered_on_new if soak.with_idle_connections else 0)
+    )
     return Result(
         seed,
-        tuple(soak.operators.story),
-        (*stage.rules.broken, *faults, *ended),
+        tuple(soak.operators.timeline),
+        (*test_bed.rules.broken, *faults, *ended),
         tally.requests,
         tally.served,
         unanswered,
